--- a/pkg/claim/background.go
+++ b/pkg/claim/background.go
@@ -11,19 +11,19 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Waits between two tries of a background write.
+// Backoff between two tries of a background write.
 const (
-	firstTaskWait = 100 * time.Millisecond
-	maxTaskWait   = 5 * time.Second
+	minWriteBackoff = 100 * time.Millisecond
+	maxWriteBackoff = 5 * time.Second
 )
 
-// maxTaskConflicts bounds the tries of a background write whose condition fails while the read-back does not show
-// why. At maxTaskWait they last several times longer than a read is stale.
-const maxTaskConflicts = 12
+// maxWriteConflicts bounds the tries of a background write whose condition fails while reads do not show why. At
+// maxWriteBackoff they take several times longer than reads stay stale.
+const maxWriteConflicts = 12
 
-// task is a background write of the state DONE or CANCELLED. It is repeated until it is confirmed or superseded,
-// and it counts as open, so that MaxOpen bounds the number of tasks.
-type task struct {
+// backgroundWrite writes the state DONE or CANCELLED. It is repeated until it is confirmed or superseded, and it counts
+// as open, so that MaxOpen bounds the number of background writes.
+type backgroundWrite struct {
 	c         *Claims
 	key       string
 	attempt   string
@@ -36,113 +36,114 @@
 	finish func()
 }
 
-// cancellation writes CANCELLED over the row of an abandoned attempt, or in place of it under the condition of its last
-// write, so that a late write of the attempt cannot take effect any more.
-func (c *Claims) cancellation(e *entry, cond platform.Condition) *task {
-	t := &task{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_CANCELLED, cond: cond}
-	t.value = c.row(e, pb.ClaimRow_CANCELLED, nil)
-	t.finish = func() {
-		c.locked(e, func(s *shard) {
+// cancellationWrite returns a write of CANCELLED that replaces the row of an abandoned attempt. If the row does not
+// exist yet, the write uses the condition of the attempt's last write, so that a late write of the attempt can no longer
+// take effect.
+func (c *Claims) cancellationWrite(e *entry, cond platform.Condition) *backgroundWrite {
+	w := &backgroundWrite{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_CANCELLED, cond: cond}
+	w.value = c.row(e, pb.ClaimRow_CANCELLED, nil)
+	w.finish = func() {
+		c.withLock(e, func(s *shard) {
 			// Other nodes may read the DISPATCHED row for a few more seconds.
-			s.keep(keptItem{until: c.o.Now().Add(c.o.Keep), attempt: e.attempt})
+			s.retain(retainedItem{until: c.o.Now().Add(c.o.Keep), attempt: e.attempt})
 		})
 	}
-	return t
+	return w
 }
 
-// ownOutcome writes DONE for an attempt of this node, which stays in memory until then and for Options.Keep
-// longer.
-func (c *Claims) ownOutcome(e *entry, version uint64, out Outcome) *task {
-	t := &task{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_DONE}
-	t.cond = platform.Condition{Kind: platform.VersionIs, Version: version}
-	t.value = c.row(e, pb.ClaimRow_DONE, out.toPB())
-	t.finish = func() {
-		c.locked(e, func(s *shard) { s.keep(keptItem{until: c.o.Now().Add(c.o.Keep), entry: e}) })
+// outcomeWrite returns a write of DONE for an attempt of this node. The attempt stays in memory until the write is
+// confirmed and for Options.Keep after that.
+func (c *Claims) outcomeWrite(e *entry, version uint64, out Outcome) *backgroundWrite {
+	w := &backgroundWrite{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_DONE}
+	w.cond = platform.Condition{Kind: platform.VersionIs, Version: version}
+	w.value = c.row(e, pb.ClaimRow_DONE, out.toPB())
+	w.finish = func() {
+		c.withLock(e, func(s *shard) { s.retain(retainedItem{until: c.o.Now().Add(c.o.Keep), entry: e}) })
 	}
-	return t
+	return w
 }
 
-// storeOutcome writes DONE for an attempt of another node, with an outcome that the service has confirmed.
-func (c *Claims) storeOutcome(key string, version uint64, row *pb.ClaimRow, out Outcome) {
+// storeOutcomeOfOtherNode writes DONE for an attempt of another node, with an outcome that the service has confirmed.
+func (c *Claims) storeOutcomeOfOtherNode(key string, version uint64, row *pb.ClaimRow, out Outcome) {
 	done := proto.Clone(row).(*pb.ClaimRow)
 	done.State = pb.ClaimRow_DONE
 	done.Outcome = out.toPB()
 	done.ExpiresUnixMs = c.expiry()
-	t := &task{c: c, key: key, attempt: row.Attempt, state: pb.ClaimRow_DONE, value: marshal(done), finish: func() {}}
-	t.cond = platform.Condition{Kind: platform.VersionIs, Version: version}
+	w := &backgroundWrite{c: c, key: key, attempt: row.Attempt, state: pb.ClaimRow_DONE, value: marshal(done), finish: func() {}}
+	w.cond = platform.Condition{Kind: platform.VersionIs, Version: version}
 	c.open.add()
-	t.start()
+	w.start()
 }
 
-// start begins the write. The caller has counted it among the open ones.
-func (t *task) start() {
-	t.c.background.add()
-	t.wait = firstTaskWait
-	t.try()
+// start begins the write. The caller must already have counted it as open.
+func (w *backgroundWrite) start() {
+	w.c.background.add()
+	w.wait = minWriteBackoff
+	w.try()
 }
 
-func (t *task) end() {
-	t.finish()
-	t.c.background.done()
-	t.c.open.done()
+func (w *backgroundWrite) end() {
+	w.finish()
+	w.c.background.done()
+	w.c.open.done()
 }
 
-func (t *task) try() {
-	m := platform.Mutation{Table: TableName, Key: t.key, Value: t.value, If: t.cond}
-	t.c.group.submit(write{ctx: context.Background(), m: m, done: t.tried})
+func (w *backgroundWrite) try() {
+	m := platform.Mutation{Table: TableName, Key: w.key, Value: w.value, If: w.cond}
+	w.c.group.submit(write{ctx: context.Background(), m: m, done: w.committed})
 }
 
-func (t *task) tried(_ uint64, err error) {
+func (w *backgroundWrite) committed(_ uint64, err error) {
 	if err == nil {
-		t.end()
+		w.end()
 		return
 	}
 	if errors.Is(err, platform.ErrUnavailable) {
-		t.later()
+		w.retryLater()
 		return
 	}
 	if errors.Is(err, errConflict) {
-		t.conflicts++
+		w.conflicts++
 	}
-	go t.readBack()
+	go w.readBack()
 }
 
-// later tries again after an exponential delay with jitter.
-func (t *task) later() {
-	wait := t.wait/2 + time.Duration(t.c.o.Jitter()*float64(t.wait/2))
-	t.wait = min(2*t.wait, maxTaskWait)
-	time.AfterFunc(wait, t.try)
+// retryLater tries again after an exponential delay with jitter.
+func (w *backgroundWrite) retryLater() {
+	wait := w.wait/2 + time.Duration(w.c.o.Jitter()*float64(w.wait/2))
+	w.wait = min(2*w.wait, maxWriteBackoff)
+	time.AfterFunc(wait, w.try)
 }
 
-// readBack finds out why the condition failed, or whether a write of unknown outcome took effect.
-func (t *task) readBack() {
-	if t.conflicts > maxTaskConflicts {
-		t.end()
+// readBack determines why the condition failed, or whether a write with an unknown outcome took effect.
+func (w *backgroundWrite) readBack() {
+	if w.conflicts > maxWriteConflicts {
+		w.end()
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), t.c.o.StoreTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), w.c.o.StoreTimeout)
 	defer cancel()
-	r, err := t.c.o.Table.Get(ctx, TableName, t.key)
+	r, err := w.c.o.Table.Get(ctx, TableName, w.key)
 	var row pb.ClaimRow
 	if err != nil || proto.Unmarshal(r.Value, &row) != nil {
-		t.later()
+		w.retryLater()
 		return
 	}
 	switch {
-	case row.Attempt == t.attempt && row.State == t.state:
-		t.end()
-	case row.Attempt == t.attempt:
-		// A write of this attempt has taken effect late, or the read is stale.
-		stale := t.cond.Kind == platform.VersionIs && r.Version <= t.cond.Version
-		t.cond = platform.Condition{Kind: platform.VersionIs, Version: max(r.Version, t.cond.Version)}
+	case row.Attempt == w.attempt && row.State == w.state:
+		w.end()
+	case row.Attempt == w.attempt:
+		// An earlier write of this attempt took effect late, or the read is stale.
+		stale := w.cond.Kind == platform.VersionIs && r.Version <= w.cond.Version
+		w.cond = platform.Condition{Kind: platform.VersionIs, Version: max(r.Version, w.cond.Version)}
 		if stale {
-			t.later()
+			w.retryLater()
 			return
 		}
-		t.try()
-	case t.cond.Kind == platform.VersionIs && r.Version <= t.cond.Version:
-		t.later() // the read is stale
+		w.try()
+	case w.cond.Kind == platform.VersionIs && r.Version <= w.cond.Version:
+		w.retryLater() // the read is stale
 	default:
-		t.end() // another attempt has replaced the row
+		w.end() // another attempt has replaced the row
 	}
 }
--- a/pkg/claim/bench_test.go
+++ b/pkg/claim/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollenlug/pollenlug/internal/standin/table"
 )
 
-// BenchmarkDo measures the cost of a call with 64 callers over a table without latency, and its store traffic.
+// BenchmarkDo measures the cost of a call and its store traffic, with a parallelism of 64 over a table without latency.
 func BenchmarkDo(b *testing.B) {
 	tab := table.New(table.Options{})
 	c := New(Options{Table: tab, Node: "node-1", MaxOpen: 1 << 20})
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -3,31 +3,32 @@
 // # Design
 //
 // A call is guarded by one row of the table service. An attempt creates the row in state DISPATCHED by a
-// conditional write and sends only after that write is confirmed, so of all attempts for a key at most one
-// sends. The outcome replaces the row's state by DONE in the background; the caller does not wait for it, and the
-// holder answers from memory until the write succeeds. A call costs two row writes, which a node groups into
-// transactions, and a third one later when the row is purged.
+// conditional write and sends the call only after that write is confirmed, so at most one of the attempts for a key
+// sends it. Once the outcome is known, a background write sets the row's state to DONE; the caller does not wait for
+// it, and the node that holds the attempt answers from memory until the write succeeds. A call costs two row writes,
+// which a node groups into transactions, and a third when the row is purged.
 //
-// An attempt whose claim is not confirmed within the store timeout is abandoned. It never sends, so the caller is
-// told ran:"no". Its write may still take effect; a CANCELLED row written in the background, under the same
-// condition, keeps it from blocking the key. A new attempt replaces a CANCELLED row under a version condition.
+// An attempt whose claim is not confirmed within the store timeout is abandoned and never sends, so the caller gets
+// ran:"no". The write of its claim may still take effect later. To keep such a row from blocking the key, a CANCELLED
+// row is written in the background under the same condition. A new attempt replaces a CANCELLED row under a version
+// condition.
 //
-// The result of a conditional write decides; reads only explain a conflict. Reads may be stale: "not found" after
-// a conflict proves nothing and the conditional write is repeated. A row that carries the attempt's own id proves
-// that its write took effect, however old the read is, because nobody else replaces the row of an attempt that
-// may still send.
+// The result of a conditional write is authoritative; reads only explain a conflict. Reads may be stale: "not found"
+// after a conflict proves nothing, and the conditional write is repeated. A row that carries the attempt's own id
+// proves that its write took effect, however old the read is, because no other attempt replaces the row of an attempt
+// that may still send.
 //
-// The row of another attempt is never answered with "no": the answer is the outcome from the row, from the node
-// that holds the attempt or from the service, or else ran:"unknown". Only a positive answer of the service counts,
-// because a call can reach the service after the query.
+// When another attempt may have run, the caller never gets ran:"no". It gets the outcome from the row, from
+// the node that holds the attempt or from the service, or else ran:"unknown". Only a positive answer of the service
+// counts, because the call can still reach the service after the query.
 //
 // # Retention
 //
 // A row expires Options.Retention after it was written. Expired rows may be replaced or purged, in any state; a
-// DISPATCHED row never before that time. Nodes allow for expirySlack of difference between their wall clocks.
-// After its retention a key is forgotten, and a request that carries it is a new call. A holder that was paused
-// for longer does not run the old call then, because it checks its store timeout right before it sends.
-// CANCELLED rows may be replaced at any time, also by a call with another digest, since no call ran.
+// DISPATCHED row is not replaced or purged before that, unless its attempt was abandoned. Nodes allow for a difference
+// of expirySlack between their wall clocks. Once its row has expired, a key may be used for a new call. A
+// holder that was paused past that time does not run the old call, because it checks the store timeout right before it
+// sends. CANCELLED rows may be replaced at any time, also by a call with another digest, since no call ran.
 package claim
 
 import (
@@ -49,7 +50,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// TableName is the table that holds the rows; their key is the escaped workspace, a slash and the call's escaped key.
+// TableName is the table of the claim rows. A row's key is the escaped workspace, a slash and the call's escaped key.
 const TableName = "claim"
 
 // Defaults of Options.
@@ -59,7 +60,7 @@
 	DefaultQueryTimeout = time.Second
 	DefaultSendTimeout  = 10 * time.Minute
 	DefaultRetention    = 24 * time.Hour
-	// DefaultKeep covers reads that are a few seconds old.
+	// DefaultKeep covers reads that are a few seconds stale.
 	DefaultKeep       = 10 * time.Second
 	DefaultMaxOpen    = 4096
 	DefaultGroupWait  = 5 * time.Millisecond
@@ -67,10 +68,10 @@
 	DefaultRetryAfter = time.Second
 )
 
-// expirySlack is the difference between wall clocks of nodes that is allowed for.
+// expirySlack is the largest tolerated difference between the wall clocks of two nodes.
 const expirySlack = 10 * time.Minute
 
-// shardCount spreads the locks; it is a power of two.
+// shardCount is the number of shards, each with a lock of its own. It is a power of two.
 const shardCount = 32
 
 // Call identifies one non-repeatable call.
@@ -82,7 +83,7 @@
 	Digest [32]byte
 }
 
-// Outcome is the service's answer.
+// Outcome is the service's response.
 type Outcome struct {
 	Status      uint32
 	ContentType string
@@ -98,18 +99,18 @@
 	NothingSent
 )
 
-// Send performs the call, with the attempt id for the service's own records. It may try several servers as long
-// as nothing was sent to the earlier ones. The context does not end with the caller's. Sent matters only with an
-// error.
+// Send performs the call. The attempt id is passed on for the service's own records. Send may try several servers as
+// long as nothing was sent to the earlier ones. Its context is not cancelled with the caller's. Sent is used only when
+// the error is not nil.
 type Send func(ctx context.Context, attempt string) (Outcome, Sent, error)
 
-// Peers asks other entry nodes.
+// Peers queries other entry nodes about their attempts.
 type Peers interface {
 	AttemptQuery(ctx context.Context, node string, query *pb.AttemptQuery) (*pb.AttemptState, error)
 }
 
-// Outcomes asks services that can be queried for the outcome of a call. Found is false when the service knows
-// nothing of the call or cannot be queried.
+// Outcomes queries services for the outcome of a call. Found is false when the service does not know the call or does
+// not support queries.
 type Outcomes interface {
 	Outcome(ctx context.Context, call Call, attempt string) (out Outcome, found bool, err error)
 }
@@ -117,33 +118,33 @@
 // Options configure Claims. Table and Node are required.
 type Options struct {
 	Table platform.Table
-	// Node is the name of this node, which other nodes ask for its attempts.
+	// Node is the name of this node. Other nodes use it to query the attempts of this node.
 	Node string
 	// Peers and Outcomes may be nil.
 	Peers    Peers
 	Outcomes Outcomes
 	// ID returns a new attempt id; it must never repeat. The default is 128 random bits.
 	ID func() string
-	// Now is the clock; its values need a monotonic reading.
+	// Now is the clock. Its values must carry a monotonic clock reading.
 	Now func() time.Time
-	// Jitter returns a number from 0 to 1.
+	// Jitter returns a random number from 0 to 1.
 	Jitter func() float64
-	// StoreTimeout is the most time from the start of a call to a confirmed claim.
+	// StoreTimeout is the longest time from the start of a call to its confirmed claim.
 	StoreTimeout time.Duration
-	// PeerTimeout and QueryTimeout bound one query to a node or a service.
+	// PeerTimeout bounds one query to a node, QueryTimeout one query to a service.
 	PeerTimeout, QueryTimeout time.Duration
 	// SendTimeout bounds one call to the service.
 	SendTimeout time.Duration
-	// Retention is how long a row is kept.
+	// Retention is the time from the write of a row to its expiry.
 	Retention time.Duration
-	// Keep is how long a stored outcome stays in memory, for callers and nodes that read an old row.
+	// Keep is how long an outcome stays in memory after it is stored, for callers and nodes that read a stale row.
 	Keep time.Duration
 	// MaxOpen bounds open attempts and background writes together; further calls are refused.
 	MaxOpen int
-	// GroupWait and GroupRows bound a group of writes.
+	// GroupWait and GroupRows bound a group of writes by waiting time and number of rows.
 	GroupWait time.Duration
 	GroupRows int
-	// RetryAfter is the retry time in refusals.
+	// RetryAfter is the retry time that errors carry.
 	RetryAfter time.Duration
 }
 
@@ -185,25 +186,25 @@
 // Claims runs the non-repeatable calls of one node. Its methods may be called concurrently.
 type Claims struct {
 	o     Options
-	group *grouper
-	// shards hold the attempts by row key.
+	group *groupCommitter
+	// shards hold the attempts, sharded by row key.
 	shards [shardCount]shard
 	open   counter
-	// retention is how long rows are kept, in nanoseconds.
+	// retention is the time from the write of a row to its expiry, in nanoseconds.
 	retention atomic.Int64
-	// background counts the background writes among the open ones.
+	// background counts the background writes, which open counts too.
 	background counter
-	// purgeAfter is the last key that Purge has seen.
+	// purgeAfter is the last key of the page that Purge read last; empty at the start of the table.
 	purgeMu    sync.Mutex
 	purgeAfter string
 }
 
-// New returns Claims without open attempts.
+// New returns Claims with the given options; zero values of optional fields give the defaults.
 func New(o Options) *Claims {
 	o.setDefaults()
 	c := &Claims{o: o}
 	c.retention.Store(int64(o.Retention))
-	c.group = &grouper{table: o.Table, wait: o.GroupWait, rows: o.GroupRows, timeout: o.StoreTimeout}
+	c.group = &groupCommitter{table: o.Table, wait: o.GroupWait, rows: o.GroupRows, timeout: o.StoreTimeout}
 	for i := range c.shards {
 		c.shards[i].entries = map[string]*entry{}
 		c.shards[i].abandoned = map[string]struct{}{}
@@ -220,12 +221,12 @@
 	return &c.shards[xxhash.Sum64String(key)%shardCount]
 }
 
-// Do runs the call unless it has run already, and returns its outcome. A call with the key of an attempt that is
-// open on this node joins it. Each error is a *code.Error: with ran:"no" the attempt was not sent and never will
-// be; with ran:"unknown" the call may have run or may still be running.
+// Do runs the call unless it has already run, and returns its outcome. A call whose key has an open attempt on this
+// node joins that attempt. Each error is a *code.Error: with ran:"no" the attempt was not sent and never will be; with
+// ran:"unknown" the call may have run or may still be running.
 //
-// When ctx ends first, an attempt that was not sent is given up unless other callers have joined it; one that
-// was sent goes on, so that a resend gets its outcome.
+// When ctx ends first, an attempt that was not sent is abandoned unless other callers have joined it. One that was
+// sent continues, so that a resend gets its outcome.
 func (c *Claims) Do(ctx context.Context, call Call, send Send) (Outcome, error) {
 	e, created, refusal := c.join(call)
 	if refusal != nil {
@@ -242,16 +243,16 @@
 	}
 }
 
-// join returns the open attempt for the key, or a new one.
+// join adds a caller to the attempt for the key, or creates the attempt.
 func (c *Claims) join(call Call) (e *entry, created bool, refusal error) {
 	key := rowKey(call.Workspace, call.Key)
 	s := c.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropOld(c.o.Now())
+	s.evictExpired(c.o.Now())
 	if e := s.entries[key]; e != nil {
 		if e.digest != call.Digest && e.phase == claiming {
-			// The key may belong to either digest until the claim is confirmed.
+			// Until the claim is confirmed, it is open which digest the key belongs to.
 			return nil, false, c.errInProgress()
 		}
 		if e.digest != call.Digest {
@@ -260,7 +261,7 @@
 		e.waiters++
 		return e, false, nil
 	}
-	if !c.open.addBelow(c.o.MaxOpen) {
+	if !c.open.tryAdd(c.o.MaxOpen) {
 		return nil, false, code.New(code.ClaimStoreUnavailable, "too many calls wait for the table service").After(c.o.RetryAfter)
 	}
 	e = &entry{key: key, attempt: c.o.ID(), digest: call.Digest, waiters: 1, answered: make(chan struct{})}
@@ -268,7 +269,7 @@
 	return e, true, nil
 }
 
-// leave answers a caller whose context has ended.
+// leave removes a caller whose context has ended from the attempt, and returns its result.
 func (c *Claims) leave(ctx context.Context, e *entry) (Outcome, error) {
 	s := c.shard(e.key)
 	s.mu.Lock()
@@ -287,14 +288,14 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		refusal = code.Wrap(code.CallerGone, code.RanNo, "the caller left before the call was sent", ctx.Err())
 	}
-	if e.othersRow {
+	if e.otherMayHaveRun {
 		refusal = c.errInProgress()
 	}
 	s.abandon(e, refusal)
 	return Outcome{}, refusal
 }
 
-// Query tells what became of an attempt of this node.
+// Query returns the state of an attempt of this node.
 func (c *Claims) Query(workspace, key, attempt string) *pb.AttemptState {
 	id := rowKey(workspace, key)
 	s := c.shard(id)
@@ -313,7 +314,7 @@
 	return &pb.AttemptState{State: pb.AttemptState_RUNNING}
 }
 
-// SetRetention changes how long rows that are written from now on are kept.
+// SetRetention changes the retention of rows that are written from now on. It ignores values that are not positive.
 func (c *Claims) SetRetention(d time.Duration) {
 	if d > 0 {
 		c.retention.Store(int64(d))
@@ -324,27 +325,27 @@
 	return uint64(c.o.Now().Add(time.Duration(c.retention.Load())).UnixMilli())
 }
 
-// Stats are current numbers.
+// Stats are the current numbers of attempts and writes.
 type Stats struct {
-	// Open counts attempts that run and background writes.
+	// Open counts open attempts and background writes.
 	Open int
-	// Background counts writes of outcomes and cancellations that are not confirmed yet.
+	// Background counts the writes of outcomes and cancellations that are not confirmed yet.
 	Background int
 }
 
-// Stats returns current numbers.
+// Stats returns the current numbers of attempts and writes.
 func (c *Claims) Stats() Stats {
 	return Stats{Open: c.open.value(), Background: c.background.value()}
 }
 
-// Drain waits until no attempt is open and all background writes are confirmed. When ctx ends first, the keys of
-// unconfirmed writes stay DISPATCHED until their retention ends, and resends get ran:"unknown".
+// Drain waits until no attempt is open and all background writes have ended. When ctx ends first, it returns the error
+// of ctx; the keys of unconfirmed writes stay DISPATCHED until their rows expire, and resends get ran:"unknown".
 func (c *Claims) Drain(ctx context.Context) error {
 	return c.open.waitZero(ctx)
 }
 
 func (o Outcome) toPB() *pb.ClaimOutcome {
-	// Protobuf refuses strings that are not UTF-8.
+	// Protobuf rejects strings that are not valid UTF-8.
 	return &pb.ClaimOutcome{Status: o.Status, ContentType: strings.ToValidUTF8(o.ContentType, "?"), Body: o.Body}
 }
 
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -18,18 +18,18 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// scenario runs a test with two nodes in virtual time.
-func scenario(t *testing.T, f func(t *testing.T, c *cluster, a, b *testNode)) {
+// withTwoNodes runs a test in virtual time with a cluster of two nodes.
+func withTwoNodes(t *testing.T, f func(t *testing.T, c *cluster, a, b *testNode)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(1, 2)
-		defer c.settle()
+		defer c.endHangingCalls()
 		f(t, c, c.nodes[0], c.nodes[1])
 	})
 }
 
-// Guards against a resend that runs again, on the same node or another one, before and after the row is DONE.
+// Guards against a resend that runs the call again, on the same node or another, before or after the row is DONE.
 func TestResendGetsStoredOutcome(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		first, _, err := c.do(t.Context(), a, "k", 1, behaviour{})
 		assert.NilError(t, err)
 		for _, n := range []*testNode{a, b, a, b} {
@@ -44,22 +44,23 @@
 	})
 }
 
-// Guards against a key that serves the outcome of another request.
+// Guards against a key that returns the outcome of another request.
 func TestOtherDigestIsRefused(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		_, _, err := c.do(t.Context(), a, "k", 1, behaviour{})
 		assert.NilError(t, err)
 		for _, n := range []*testNode{a, b} {
 			_, _, err = c.do(t.Context(), n, "k", 2, behaviour{})
-			expect(t, err, code.IdempotencyKeyReused, code.RanNo)
+			assertError(t, err, code.IdempotencyKeyReused, code.RanNo)
 		}
 		assert.Equal(t, c.service.runsOf("k"), 1)
 	})
 }
 
-// Guards against a claim that is taken for failed, or sent twice, when only the answer of its write was lost.
+// Guards against a claim that is treated as failed, or a call that is sent twice, when only the response to the
+// claim's write was lost.
 func TestLostAnswer(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, _ *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, _ *testNode) {
 		a.store.SetFaults(table.Faults{LostPercent: 100})
 		_, _, err := c.do(t.Context(), a, "k", 1, behaviour{})
 		assert.NilError(t, err)
@@ -69,13 +70,13 @@
 	})
 }
 
-// Guards against a stale "not found" that is taken as proof that a lost write did not take effect.
+// Guards against treating a stale "not found" as proof that a write whose response was lost did not take effect.
 func TestLostAnswerAndStaleReads(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		a.store.SetFaults(table.Faults{LostPercent: 100, StalePercent: 100, MaxStale: 30 * time.Second})
 		_, ran, err := c.do(t.Context(), a, "k", 1, behaviour{})
 		if err != nil {
-			expect(t, err, code.ClaimStoreUnavailable, code.RanNo)
+			assertError(t, err, code.ClaimStoreUnavailable, code.RanNo)
 			assert.Assert(t, !ran())
 		}
 		a.store.SetFaults(table.Faults{})
@@ -86,15 +87,16 @@
 	})
 }
 
-// Guards against "not run" after more than the store timeout, and against a row of it that blocks the key later.
+// Guards against a refusal that takes longer than the store timeout during an outage, and against a row of the refused
+// attempt that blocks the key later.
 func TestStoreDown(t *testing.T) {
 	for _, outage := range []table.Outage{table.Refusing, table.Hanging} {
-		scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+		withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 			a.store.SetFaults(table.Faults{Outage: outage})
-			begun := time.Now()
+			start := time.Now()
 			_, ran, err := c.do(t.Context(), a, "k", 1, behaviour{})
-			expect(t, err, code.ClaimStoreUnavailable, code.RanNo)
-			assert.Assert(t, time.Since(begun) <= DefaultStoreTimeout, "took %v", time.Since(begun))
+			assertError(t, err, code.ClaimStoreUnavailable, code.RanNo)
+			assert.Assert(t, time.Since(start) <= DefaultStoreTimeout, "took %v", time.Since(start))
 			time.Sleep(time.Minute)
 			assert.Assert(t, !ran())
 			a.store.SetFaults(table.Faults{})
@@ -106,14 +108,14 @@
 	}
 }
 
-// Guards against a late write of an attempt whose caller was told "not run": it must neither run nor block the key,
-// whether the resend comes before or after the write takes effect.
+// Guards against a claim that takes effect after its caller got ran:"no": the attempt must neither run nor block the
+// key, whether the resend arrives before or after the write takes effect.
 func TestLateWriteAfterNotRun(t *testing.T) {
 	for _, resendAfter := range []time.Duration{0, time.Minute} {
-		scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+		withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 			a.store.SetFaults(table.Faults{LatePercent: 100, MaxLate: 30 * time.Second})
 			_, ran, err := c.do(t.Context(), a, "k", 1, behaviour{})
-			expect(t, err, code.ClaimStoreUnavailable, code.RanNo)
+			assertError(t, err, code.ClaimStoreUnavailable, code.RanNo)
 			a.store.SetFaults(table.Faults{Outage: table.Hanging}) // the cancellation cannot be written
 			time.Sleep(resendAfter)
 			if resendAfter > 0 {
@@ -131,7 +133,7 @@
 	}
 }
 
-// pausingTable moves a node's clock ahead after a commit that took effect, as a pause of the process would.
+// pausingTable moves a node's clock ahead after the first commit, as a pause of the process would.
 type pausingTable struct {
 	platform.Table
 	once  sync.Once
@@ -144,12 +146,12 @@
 	return versions, err
 }
 
-// Guards against an attempt that is sent minutes after its claim because no timer has fired during a pause.
+// Guards against an attempt that is sent minutes after its claim because no timer fired while the process was paused.
 func TestHolderPausedBeforeSend(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		a.group.table = &pausingTable{Table: a.store, pause: func() { a.pause(5 * time.Minute) }}
 		_, ran, err := c.do(t.Context(), a, "k", 1, behaviour{})
-		expect(t, err, code.ClaimStoreUnavailable, code.RanNo)
+		assertError(t, err, code.ClaimStoreUnavailable, code.RanNo)
 		assert.Assert(t, !ran())
 		_, _, err = c.do(t.Context(), b, "k", 1, behaviour{})
 		assert.NilError(t, err)
@@ -158,9 +160,9 @@
 	})
 }
 
-// Guards against a second run while the holder is paused between send and answer.
-func TestHolderPausedBeforeAnswer(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+// Guards against a second run while the holder waits for the response, whether its peers can query it or not.
+func TestHolderIsolatedBeforeResponse(t *testing.T) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		answers := make(chan Outcome)
 		go func() {
 			out, _, err := c.do(t.Context(), a, "k", 1, behaviour{delay: 2 * time.Minute})
@@ -169,10 +171,10 @@
 		}()
 		time.Sleep(time.Minute)
 		_, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
-		expect(t, err, code.CallInProgress, code.RanUnknown)
-		a.set(false, true)
+		assertError(t, err, code.CallInProgress, code.RanUnknown)
+		a.setFailure(false, true)
 		_, _, err = c.do(t.Context(), b, "k", 1, behaviour{})
-		expect(t, err, code.OutcomeUnknown, code.RanUnknown)
+		assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
 		first := <-answers
 		time.Sleep(time.Second)
 		out, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
@@ -182,9 +184,9 @@
 	})
 }
 
-// Guards against two runs when two nodes, and two callers on each, use one key at once.
+// Guards against two runs when two callers on each of two nodes use the same key at once.
 func TestSameKeyAtOnce(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
 		for i, n := range []*testNode{a, b, a, b} {
@@ -199,23 +201,23 @@
 				answers++
 				continue
 			}
-			expect(t, err, code.CallInProgress, code.RanUnknown)
+			assertError(t, err, code.CallInProgress, code.RanUnknown)
 		}
 		assert.Equal(t, answers, 2, "both callers of the winning node get the outcome")
 		assert.Equal(t, c.service.runsOf("k"), 1)
 	})
 }
 
-// Guards against a second run, or a "not run", after the holder died with the call dispatched; only the service's
-// positive answer ends the uncertainty.
+// Guards against a second run, or ran:"no", after the holder died with the call dispatched. Only a positive answer of
+// the service may resolve the unknown outcome.
 func TestNodeDeathAfterDispatch(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		go func() { _, _, _ = c.do(t.Context(), a, "k", 1, behaviour{delay: time.Second}) }()
 		time.Sleep(1500 * time.Millisecond)
-		a.set(true, false)
+		a.setFailure(true, false)
 		a.store.SetFaults(table.Faults{Outage: table.Hanging})
 		_, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
-		expect(t, err, code.OutcomeUnknown, code.RanUnknown)
+		assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
 		c.service.queryable = true
 		out, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
 		assert.NilError(t, err)
@@ -226,16 +228,16 @@
 	})
 }
 
-// Guards against "not run" after a send whose answer was lost, and against a negative answer of the service that is
-// used although the call may still arrive.
+// Guards against ran:"no" after a send whose response was lost, and against using a negative answer of the service
+// although the call may still arrive.
 func TestUnknownAfterSend(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		c.service.queryable = true
 		_, _, err := c.do(t.Context(), a, "lost", 1, behaviour{lostCall: true})
-		expect(t, err, code.OutcomeUnknown, code.RanUnknown)
+		assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
 		for _, n := range []*testNode{a, b} {
 			_, _, err = c.do(t.Context(), n, "lost", 1, behaviour{})
-			expect(t, err, code.OutcomeUnknown, code.RanUnknown)
+			assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
 		}
 		assert.Equal(t, c.service.runsOf("lost"), 0)
 		_, _, err = c.do(t.Context(), a, "answer", 1, behaviour{lostAnswer: true})
@@ -243,11 +245,11 @@
 	})
 }
 
-// Guards against a key that stays blocked after a call that was not sent, also for a request with another body.
+// Guards against a key that stays blocked after a call that was not sent, also for a request with another digest.
 func TestNothingSent(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		_, _, err := c.do(t.Context(), a, "k", 1, behaviour{unsent: true})
-		expect(t, err, code.NoBackendServer, code.RanNo)
+		assertError(t, err, code.NoBackendServer, code.RanNo)
 		assert.NilError(t, a.Drain(t.Context()))
 		assert.Equal(t, c.storedRow(t, "k").State, pb.ClaimRow_CANCELLED)
 		_, _, err = c.do(t.Context(), b, "k", 2, behaviour{})
@@ -256,9 +258,9 @@
 	})
 }
 
-// Guards against an outcome that is lost because the store was down when the call ended.
+// Guards against losing an outcome because the store was down when the call ended.
 func TestOutcomeIsStoredAfterOutage(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		go func() {
 			time.Sleep(500 * time.Millisecond)
 			a.store.SetFaults(table.Faults{Outage: table.Refusing})
@@ -278,14 +280,14 @@
 	})
 }
 
-// Guards against a send after the caller was told that the call did not run because its deadline passed.
+// Guards against a send after the caller got ran:"no" because its deadline passed before the send.
 func TestCallerLeavesBeforeSend(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		a.store.SetFaults(table.Faults{MinLatency: 100 * time.Millisecond, MaxLatency: 100 * time.Millisecond})
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
 		_, ran, err := c.do(ctx, a, "k", 1, behaviour{})
-		expect(t, err, code.DeadlineExceeded, code.RanNo)
+		assertError(t, err, code.DeadlineExceeded, code.RanNo)
 		assert.NilError(t, a.Drain(t.Context()))
 		assert.Assert(t, !ran())
 		assert.Equal(t, c.storedRow(t, "k").State, pb.ClaimRow_CANCELLED)
@@ -294,17 +296,17 @@
 	})
 }
 
-// Guards against unbounded background writes in a long outage.
+// Guards against an unbounded number of background writes during a long outage.
 func TestOpenCallsAreBounded(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, _ *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, _ *testNode) {
 		a.o.MaxOpen = 10
 		a.store.SetFaults(table.Faults{Outage: table.Hanging})
 		for i := range 30 {
 			_, _, err := c.do(t.Context(), a, fmt.Sprint(i), 1, behaviour{})
-			expect(t, err, code.ClaimStoreUnavailable, code.RanNo)
+			assertError(t, err, code.ClaimStoreUnavailable, code.RanNo)
 			assert.Assert(t, a.Stats().Background <= 10)
 		}
-		synctest.Wait() // a call returns before its cancellation has started to be written
+		synctest.Wait() // a call returns before its cancellation write has started
 		assert.Equal(t, a.Stats().Background, 10)
 		a.store.SetFaults(table.Faults{})
 		assert.NilError(t, a.Drain(t.Context()))
@@ -312,10 +314,10 @@
 	})
 }
 
-// Guards against a call that is refused below MaxOpen, because an attempt counts twice while it turns into a
+// Guards against a call that is refused below MaxOpen because an attempt is counted twice while it turns into a
 // background write.
 func TestAttemptTurnsIntoOneBackgroundWrite(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, _ *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, _ *testNode) {
 		a.store.SetFaults(table.Faults{Outage: table.Hanging})
 		done := make(chan error, 1)
 		go func() {
@@ -323,8 +325,8 @@
 			done <- err
 		}()
 		time.Sleep(a.o.StoreTimeout / 2) // the claim is sent
-		a.group.mu.Lock()                // holds the background write where it begins
-		expect(t, <-done, code.ClaimStoreUnavailable, code.RanNo)
+		a.group.mu.Lock()                // blocks the background write at its start
+		assertError(t, <-done, code.ClaimStoreUnavailable, code.RanNo)
 		for a.Stats().Background == 0 {
 			runtime.Gosched()
 		}
@@ -336,9 +338,9 @@
 	})
 }
 
-// Guards against rows that stay after their retention, and against a purge that forgets a key before it.
+// Guards against rows that remain after their retention, and against a purge that deletes a row before its expiry.
 func TestPurge(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		purge := func(n *testNode) (deleted int) {
 			for range 5 {
 				d, err := n.Purge(t.Context(), 10)
@@ -360,10 +362,10 @@
 	})
 }
 
-// Guards against rows of a group that fail together because one of them conflicts, and against more than one
-// transaction per group.
+// Guards against a group whose writes all fail because one of them conflicts, and against more than one transaction
+// per group.
 func TestGroupedWrites(t *testing.T) {
-	scenario(t, func(t *testing.T, c *cluster, a, b *testNode) {
+	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
 		_, _, err := c.do(t.Context(), b, "3", 9, behaviour{})
 		assert.NilError(t, err)
 		assert.NilError(t, b.Drain(t.Context()))
@@ -374,14 +376,14 @@
 			wg.Go(func() { _, _, errs[i] = c.do(t.Context(), a, fmt.Sprint(i), 1, behaviour{}) })
 		}
 		wg.Wait()
-		expect(t, errs[3], code.IdempotencyKeyReused, code.RanNo)
+		assertError(t, errs[3], code.IdempotencyKeyReused, code.RanNo)
 		errs[3] = nil
 		assert.NilError(t, errors.Join(errs...))
 		assert.NilError(t, a.Drain(t.Context()))
 		after := c.table.Counts()
 		assert.Equal(t, after.RowWrites-before.RowWrites, uint64(38), "two row writes per call")
-		// The claims with and without the conflicting row, the outcomes, and the check of the digest, which may
-		// share a transaction with outcomes.
+		// The claims with the conflicting row, the claims without it, the outcomes, and the check of the conflicting row,
+		// which may share a transaction with outcomes.
 		assert.Assert(t, after.Commits-before.Commits <= 4, "%d commits", after.Commits-before.Commits)
 	})
 }
--- a/pkg/claim/group.go
+++ b/pkg/claim/group.go
@@ -10,21 +10,21 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// errConflict means that the condition of a row did not hold and that nothing was written.
+// errConflict means that the condition of a write did not hold and that the row was not written.
 var errConflict = errors.New("claim: condition does not hold")
 
 // write is one row write of a group.
 type write struct {
-	// ctx ends the interest in the write; it is left out of groups that are committed later.
+	// ctx cancels the write. A cancelled write is left out of transactions that start later.
 	ctx context.Context
 	m   platform.Mutation
 	// done is called once, with the row's new version or errConflict, ErrUnavailable or ErrOutcomeUnknown.
 	done func(version uint64, err error)
 }
 
-// grouper commits the writes of a node in groups, because the table service allows only several hundred
-// transactions per second for all nodes.
-type grouper struct {
+// groupCommitter commits the writes of a node in groups, because the table service allows only several hundred
+// transactions per second for all nodes together.
+type groupCommitter struct {
 	table   platform.Table
 	wait    time.Duration
 	rows    int
@@ -36,16 +36,16 @@
 }
 
 // submit adds a write to the current group.
-func (g *grouper) submit(w write) {
+func (g *groupCommitter) submit(w write) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.has(w.m.Key) {
-		// A transaction names a row once only.
-		go g.commitGroup(g.take())
+	if g.contains(w.m.Key) {
+		// A transaction may write each row only once.
+		go g.commitGroup(g.takeGroup())
 	}
 	g.writes = append(g.writes, w)
 	if len(g.writes) >= g.rows {
-		go g.commitGroup(g.take())
+		go g.commitGroup(g.takeGroup())
 		return
 	}
 	if len(g.writes) == 1 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (g *grouper) has(key string) bool {
+func (g *groupCommitter) contains(key string) bool {
 	for _, w := range g.writes {
 		if w.m.Key == key {
 			return true
@@ -62,7 +62,7 @@
 	return false
 }
 
-func (g *grouper) startTimer() {
+func (g *groupCommitter) startTimer() {
 	var timer *time.Timer
 	timer = time.AfterFunc(g.wait, func() {
 		g.mu.Lock()
@@ -70,15 +70,15 @@
 			g.mu.Unlock()
 			return
 		}
-		group := g.take()
+		group := g.takeGroup()
 		g.mu.Unlock()
 		g.commitGroup(group)
 	})
 	g.timer = timer
 }
 
-// take returns the current group and begins a new one.
-func (g *grouper) take() []write {
+// takeGroup returns the current group and begins a new one.
+func (g *groupCommitter) takeGroup() []write {
 	group := g.writes
 	g.writes = nil
 	if g.timer != nil {
@@ -88,8 +88,8 @@
 	return group
 }
 
-// commit submits a write and waits for its result or the end of ctx, which gives ErrOutcomeUnknown.
-func (g *grouper) commit(ctx context.Context, m platform.Mutation) (uint64, error) {
+// commit submits a write and waits for its result. It returns ErrOutcomeUnknown when ctx ends first.
+func (g *groupCommitter) commit(ctx context.Context, m platform.Mutation) (uint64, error) {
 	type result struct {
 		version uint64
 		err     error
@@ -104,11 +104,12 @@
 	}
 }
 
-// commitGroup commits the group, again without the rows whose condition fails, until the rest is written.
-func (g *grouper) commitGroup(group []write) {
+// commitGroup commits the group. When conditions fail, it repeats the commit without those rows until the rest is
+// written or the commit fails for another reason.
+func (g *groupCommitter) commitGroup(group []write) {
 	sort.Slice(group, func(i, j int) bool { return group[i].m.Key < group[j].m.Key })
 	for {
-		group = wanted(group)
+		group = dropCancelled(group)
 		if len(group) == 0 {
 			return
 		}
@@ -124,11 +125,11 @@
 			failAll(group, err)
 			return
 		}
-		group = withoutFailed(group, conflict.Failed)
+		group = dropConflicting(group, conflict.Failed)
 	}
 }
 
-func (g *grouper) commitOnce(group []write) ([]uint64, error) {
+func (g *groupCommitter) commitOnce(group []write) ([]uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), g.timeout)
 	defer cancel()
 	mutations := make([]platform.Mutation, len(group))
@@ -138,8 +139,9 @@
 	return g.table.Commit(ctx, mutations)
 }
 
-// wanted returns the writes whose context has not ended; the others had no effect.
-func wanted(group []write) []write {
+// dropCancelled returns the writes whose context has not ended. The others fail with ErrUnavailable, as they had no
+// effect.
+func dropCancelled(group []write) []write {
 	rest := group[:0]
 	for _, w := range group {
 		if w.ctx.Err() != nil {
@@ -151,7 +153,7 @@
 	return rest
 }
 
-func withoutFailed(group []write, failed []int) []write {
+func dropConflicting(group []write, failed []int) []write {
 	isFailed := make(map[int]bool, len(failed))
 	for _, i := range failed {
 		isFailed[i] = true
@@ -167,7 +169,7 @@
 	return rest
 }
 
-// failAll gives every error but ErrUnavailable as an unknown outcome.
+// failAll fails all writes of the group, with ErrUnavailable if that is the error and with ErrOutcomeUnknown otherwise.
 func failAll(group []write, err error) {
 	if !errors.Is(err, platform.ErrUnavailable) {
 		err = platform.ErrOutcomeUnknown
--- a/pkg/claim/harness_test.go
+++ b/pkg/claim/harness_test.go
@@ -20,13 +20,13 @@
 
 // behaviour is what the service does with one call.
 type behaviour struct {
-	// delay passes before the call runs and again before its answer.
+	// delay is the time before the call runs and again the time before its response.
 	delay time.Duration
-	// unsent fails before a byte is sent; lostCall fails after the send without a run; lostAnswer fails after the run.
+	// unsent fails before a byte is sent, lostCall after the send without a run, and lostAnswer after the run.
 	unsent, lostCall, lostAnswer bool
 }
 
-// service counts the runs per key.
+// service is a backend service that counts the runs of each key.
 type service struct {
 	mu        sync.Mutex
 	runs      map[string]int
@@ -57,15 +57,15 @@
 	return out, ok && s.queryable, nil
 }
 
-// testNode is one entry node with its own clock, which a pause of the process moves ahead of its timers.
+// testNode is one entry node with its own clock. A simulated pause of the process moves the clock ahead of the timers.
 type testNode struct {
 	*Claims
 	store *table.Client
 
-	mu     sync.Mutex
-	ahead  time.Duration
-	dead   bool
-	cutOff bool // other nodes cannot ask it
+	mu       sync.Mutex
+	ahead    time.Duration
+	dead     bool
+	isolated bool // other nodes cannot query it
 }
 
 func (n *testNode) now() time.Time {
@@ -80,20 +80,20 @@
 	n.ahead += d
 }
 
-func (n *testNode) set(dead, cutOff bool) {
+func (n *testNode) setFailure(dead, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dead = dead
-	n.cutOff = cutOff
+	n.isolated = isolated
 }
 
-func (n *testNode) state() (dead, cutOff bool) {
+func (n *testNode) failure() (dead, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dead, n.cutOff
+	return n.dead, n.isolated
 }
 
-// cluster is several nodes over one table and one service.
+// cluster is a set of nodes that share one table and one service.
 type cluster struct {
 	table   *table.Table
 	service *service
@@ -110,12 +110,12 @@
 		byName:  map[string]*testNode{},
 	}
 	for range nodes {
-		c.start()
+		c.startNode()
 	}
 	return c
 }
 
-func (c *cluster) start() *testNode {
+func (c *cluster) startNode() *testNode {
 	name := fmt.Sprintf("node-%d", len(c.nodes)+1)
 	n := &testNode{store: c.table.NewClient(name)}
 	var mu sync.Mutex
@@ -135,8 +135,8 @@
 	return n
 }
 
-// settle ends the calls that hang, since virtual time stands still once a test has returned.
-func (c *cluster) settle() {
+// endHangingCalls ends the calls that hang, since virtual time stops once a test has returned.
+func (c *cluster) endHangingCalls() {
 	for _, n := range c.nodes {
 		n.store.SetFaults(table.Faults{Outage: table.Refusing})
 	}
@@ -148,7 +148,7 @@
 	c.mu.Lock()
 	n := c.byName[node]
 	c.mu.Unlock()
-	if dead, cutOff := n.state(); dead || cutOff {
+	if dead, isolated := n.failure(); dead || isolated {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -159,7 +159,7 @@
 	return Call{Workspace: "desk", Key: key, Service: "book", Digest: sha256.Sum256([]byte{digest})}
 }
 
-// do calls on a node and tells whether this call's own attempt ran.
+// do makes a call through a node; ran reports whether this call's own attempt has run.
 func (c *cluster) do(ctx context.Context, n *testNode, key string, digest byte, b behaviour) (out Outcome, ran func() bool, err error) {
 	var mu sync.Mutex
 	didRun := false
@@ -169,7 +169,7 @@
 			return Outcome{}, NothingSent, backend.ErrUnreachable
 		}
 		time.Sleep(b.delay)
-		if dead, _ := n.state(); dead || b.lostCall {
+		if dead, _ := n.failure(); dead || b.lostCall {
 			return Outcome{}, MaybeSent, backend.ErrInterrupted
 		}
 		mu.Lock()
@@ -177,7 +177,7 @@
 		mu.Unlock()
 		out := c.service.run(key, digest)
 		time.Sleep(b.delay)
-		if dead, _ := n.state(); dead || b.lostAnswer {
+		if dead, _ := n.failure(); dead || b.lostAnswer {
 			return Outcome{}, MaybeSent, backend.ErrInterrupted
 		}
 		return out, MaybeSent, nil
@@ -195,8 +195,8 @@
 	return &row
 }
 
-// expect checks code and ran of an error.
-func expect(t *testing.T, err error, want code.Code, ran code.Ran) {
+// assertError checks the code and the Ran value of an error.
+func assertError(t *testing.T, err error, want code.Code, ran code.Ran) {
 	t.Helper()
 	var e *code.Error
 	assert.Assert(t, errors.As(err, &e), "error is %v", err)
--- a/pkg/claim/purge.go
+++ b/pkg/claim/purge.go
@@ -10,11 +10,11 @@
 )
 
 // Purge reads the next page of up to limit rows and deletes those that have expired, at most Options.GroupRows of
-// them. It goes on after the last page that this node has read and begins again at the end of the table. Any node
-// may call it, also several at once: the deletes are conditional.
+// them. It continues after the last page that this node has read and starts over at the end of the table. Several
+// nodes may call it at the same time, because the deletes are conditional.
 //
-// The cost is one read and one transaction per page with expired rows, two when other nodes purge the same rows.
-// Over its life a call costs one row write more. Deletes that fail are repeated in the next round.
+// A page with expired rows costs one read and one transaction, or two transactions when other nodes purge the same
+// rows. This adds one row write to the cost of each call. Failed deletes are repeated in the next pass over the table.
 func (c *Claims) Purge(ctx context.Context, limit int) (deleted int, err error) {
 	rows, err := c.o.Table.List(ctx, TableName, "", c.purgePosition(), limit)
 	if err != nil {
@@ -36,7 +36,7 @@
 			break
 		}
 	}
-	// Rows that another node has deleted or a call has replaced are left out.
+	// Rows that another node has deleted or a call has replaced fail their condition and are skipped.
 	c.group.commitGroup(deletes)
 	c.setPurgePosition(last)
 	return deleted, nil
--- a/pkg/claim/random_test.go
+++ b/pkg/claim/random_test.go
@@ -22,7 +22,7 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict. Another one is set by -rapid.seed.
+// TestMain fixes the seed of rapid, so that every run has the same result. The flag -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -30,62 +30,63 @@
 	os.Exit(m.Run())
 }
 
-// Sizes of a random schedule.
+// Dimensions of a random schedule.
 const (
-	planNodes = 3
-	planKeys  = 12
-	planSteps = 40
-	// callsPerStep are begun within a few ms of each other.
+	scheduleNodes = 3
+	scheduleKeys  = 12
+	scheduleSteps = 40
+	// The calls of a step start within a few ms of each other.
 	callsPerStep = 4
 )
 
-// planCall is one call of a schedule.
-type planCall struct {
+// scheduledCall is one call of a schedule.
+type scheduledCall struct {
 	node, key int
 	digest    byte
 	timeout   time.Duration
 	behaviour behaviour
 }
 
-// planStep changes one node's faults, begins calls and lets time pass.
-type planStep struct {
-	node   int
-	fault  int
-	calls  [callsPerStep]planCall
-	passes time.Duration
+// scheduleStep changes the faults of one node, starts calls and then lets time pass.
+type scheduleStep struct {
+	node     int
+	fault    int
+	calls    [callsPerStep]scheduledCall
+	duration time.Duration
 }
 
-type plan struct {
+type schedule struct {
 	seed      uint64
 	queryable bool
-	steps     []planStep
+	steps     []scheduleStep
 }
 
-func drawPlan(t *rapid.T) plan {
-	p := plan{seed: rapid.Uint64().Draw(t, "seed"), queryable: rapid.Bool().Draw(t, "queryable")}
-	for range planSteps {
-		s := planStep{
-			node:   rapid.IntRange(0, planNodes-1).Draw(t, "node"),
-			fault:  rapid.IntRange(0, len(storeFaults)+3).Draw(t, "fault"),
-			passes: time.Duration(rapid.IntRange(1, 2000).Draw(t, "passes")) * time.Millisecond,
+func drawSchedule(t *rapid.T) schedule {
+	sched := schedule{seed: rapid.Uint64().Draw(t, "seed"), queryable: rapid.Bool().Draw(t, "queryable")}
+	for range scheduleSteps {
+		s := scheduleStep{
+			node:     rapid.IntRange(0, scheduleNodes-1).Draw(t, "node"),
+			fault:    rapid.IntRange(0, len(storeFaults)+3).Draw(t, "fault"),
+			duration: time.Duration(rapid.IntRange(1, 2000).Draw(t, "passes")) * time.Millisecond,
 		}
 		for i := range s.calls {
 			s.calls[i] = drawCall(t)
 		}
-		p.steps = append(p.steps, s)
+		sched.steps = append(sched.steps, s)
 	}
-	return p
+	return sched
 }
 
-func drawCall(t *rapid.T) planCall {
-	c := planCall{
-		node: rapid.IntRange(0, planNodes-1).Draw(t, "node"),
-		key:  rapid.IntRange(0, planKeys-1).Draw(t, "key"),
+func drawCall(t *rapid.T) scheduledCall {
+	c := scheduledCall{
+		node: rapid.IntRange(0, scheduleNodes-1).Draw(t, "node"),
+		key:  rapid.IntRange(0, scheduleKeys-1).Draw(t, "key"),
 	}
 	if rapid.IntRange(0, 9).Draw(t, "digest") == 0 {
 		c.digest = 1
 	}
-	// No timeout ends at the same time as a group or a retry, so that the scheduler does not decide between them.
+	// No timeout ends at the same time as a group's wait or a retry's backoff, so that the order of events does not
+	// depend on the scheduler.
 	c.timeout = time.Duration(rapid.SampledFrom([]int{5_003, 50_007, 400_011, 60_000_013}).Draw(t, "timeout")) * time.Microsecond
 	c.behaviour = rapid.SampledFrom([]behaviour{
 		{}, {delay: time.Millisecond}, {delay: 300 * time.Millisecond}, {delay: 40 * time.Second},
@@ -94,7 +95,7 @@
 	return c
 }
 
-// storeFaults are the faults of the table service in schedules. The first ones are the most likely draws.
+// storeFaults are the faults of the table service in schedules. rapid draws the first ones most often.
 var storeFaults = []table.Faults{
 	{MinLatency: time.Millisecond, MaxLatency: 9 * time.Millisecond},
 	{MinLatency: time.Millisecond, MaxLatency: 30 * time.Millisecond, LostPercent: 30, StalePercent: 50, MaxStale: 4 * time.Second},
@@ -105,7 +106,7 @@
 	{Outage: table.Hanging},
 }
 
-// callInput and callOutput are one call in the history of a key.
+// callInput and callOutput are the input and the output of one call in the history of a key.
 type callInput struct{ digest byte }
 
 type callOutput struct {
@@ -114,17 +115,17 @@
 	body string
 }
 
-// history collects the calls of a run.
+// history records the calls of a run.
 type history struct {
 	clock atomic.Int64
 	mu    sync.Mutex
 	ops   map[string][]porcupine.Operation
-	// violations are broken guarantees.
+	// violations are the guarantees that were broken.
 	violations []string
 	calls      int
 }
 
-func (h *history) violate(format string, args ...any) {
+func (h *history) addViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
@@ -139,23 +140,24 @@
 	return fmt.Errorf("%q", h.violations)
 }
 
-// call makes one call and records it. A call that was told "no" is checked again at the end by the returned func.
-func (h *history) call(c *cluster, n *testNode, key string, pc planCall) (recheck func()) {
-	ctx, cancel := context.WithTimeout(context.Background(), pc.timeout)
+// call makes one call and records it. The returned func checks again, at the end of the run, that a call with ran:"no"
+// has not run.
+func (h *history) call(c *cluster, n *testNode, key string, sc scheduledCall) (recheck func()) {
+	ctx, cancel := context.WithTimeout(context.Background(), sc.timeout)
 	defer cancel()
-	begun := h.clock.Add(1)
-	out, ran, err := c.do(ctx, n, key, pc.digest, pc.behaviour)
-	op := porcupine.Operation{Input: callInput{pc.digest}, Call: begun, Return: h.clock.Add(1)}
+	start := h.clock.Add(1)
+	out, ran, err := c.do(ctx, n, key, sc.digest, sc.behaviour)
+	op := porcupine.Operation{Input: callInput{sc.digest}, Call: start, Return: h.clock.Add(1)}
 	result := callOutput{body: string(out.Body), ran: code.RanYes}
 	if err != nil {
 		var e *code.Error
 		if !errors.As(err, &e) {
-			h.violate("%s: error without a code: %v", key, err)
+			h.addViolation("%s: error without a code: %v", key, err)
 			return func() {}
 		}
 		result = callOutput{code: e.Code, ran: e.Ran}
 		if e.Ran == code.RanUnknown {
-			// The call may run until the end of the history.
+			// The call may still run until the end of the history.
 			op.Return = math.MaxInt64
 		}
 	}
@@ -167,21 +169,21 @@
 	h.mu.Unlock()
 	recheck = func() {
 		if result.ran == code.RanNo && ran() {
-			h.violate("%s: a call that ran was told %v with ran:no", key, result.code)
+			h.addViolation("%s: a call that ran got %v with ran:no", key, result.code)
 		}
 	}
 	recheck()
 	return recheck
 }
 
-// keyState is the model of one key: whether a call ran, with which digest, and its outcome if it was seen.
+// keyState is the model state of one key: whether a call ran, with which digest, and its outcome if any caller got it.
 type keyState struct {
 	ran    bool
 	digest byte
 	body   string
 }
 
-// keyModel allows one run per key. A call with an unknown result may have run or not.
+// keyModel allows one run per key. A call with ran:"unknown" may or may not have run.
 var keyModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, in, out any) (next []any) {
@@ -208,11 +210,11 @@
 	return []keyState{s}
 }
 
-// runPlan runs a schedule in virtual time and returns the first broken guarantee.
-func runPlan(p plan) (h *history, err error) {
+// runSchedule runs a schedule in virtual time and returns the first broken guarantee.
+func runSchedule(sched schedule) (h *history, err error) {
 	h = &history{ops: map[string][]porcupine.Operation{}}
-	c := newCluster(p.seed, planNodes)
-	c.service.queryable = p.queryable
+	c := newCluster(sched.seed, scheduleNodes)
+	c.service.queryable = sched.queryable
 	live := append([]*testNode(nil), c.nodes...)
 	for _, n := range live {
 		n.store.SetFaults(storeFaults[0])
@@ -220,48 +222,49 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var rechecks []func()
-	for step, s := range p.steps {
+	for step, s := range sched.steps {
 		applyFault(c, live, s)
-		for i, pc := range s.calls {
-			n := live[pc.node]
+		for i, sc := range s.calls {
+			n := live[sc.node]
 			wg.Go(func() {
-				// Calls of one step begin at distinct times, so that their order does not depend on the scheduler.
+				// The calls of a step start at distinct times, so that their order does not depend on the scheduler.
 				time.Sleep(time.Duration(i)*1300*time.Microsecond + time.Duration(step*callsPerStep+i)*101*time.Nanosecond)
-				recheck := h.call(c, n, fmt.Sprint("key-", pc.key), pc)
+				recheck := h.call(c, n, fmt.Sprint("key-", sc.key), sc)
 				mu.Lock()
 				defer mu.Unlock()
 				rechecks = append(rechecks, recheck)
 			})
 		}
-		time.Sleep(s.passes)
+		time.Sleep(s.duration)
 		c.checkRuns(h)
 		if err := h.err(); err != nil {
 			return h, err
 		}
 	}
 	wg.Wait()
-	c.checkEnd(h, live)
+	c.checkFinalState(h, live)
 	for _, recheck := range rechecks {
 		recheck()
 	}
-	c.settle()
+	c.endHangingCalls()
 	return h, h.err()
 }
 
-// applyFault sets the store faults of a node, cuts it off from its peers, pauses it or replaces it by a new one.
-func applyFault(c *cluster, live []*testNode, s planStep) {
+// applyFault sets the store faults of a node, isolates it from its peers or reconnects it, pauses it, or replaces it
+// with a new one.
+func applyFault(c *cluster, live []*testNode, s scheduleStep) {
 	n := live[s.node]
-	switch over := s.fault - len(storeFaults); over {
+	switch nodeFault := s.fault - len(storeFaults); nodeFault {
 	case 0:
-		n.set(false, true)
+		n.setFailure(false, true)
 	case 1:
-		n.set(false, false)
+		n.setFailure(false, false)
 	case 2:
 		n.pause(3 * time.Minute)
 	case 3:
-		n.set(true, true)
+		n.setFailure(true, true)
 		n.store.SetFaults(table.Faults{Outage: table.Refusing})
-		live[s.node] = c.start()
+		live[s.node] = c.startNode()
 		live[s.node].store.SetFaults(storeFaults[0])
 	default:
 		n.store.SetFaults(storeFaults[s.fault])
@@ -269,32 +272,33 @@
 }
 
 func (c *cluster) checkRuns(h *history) {
-	for i := range planKeys {
+	for i := range scheduleKeys {
 		key := fmt.Sprint("key-", i)
 		if n := c.service.runsOf(key); n > 1 {
-			h.violate("%s ran %d times", key, n)
+			h.addViolation("%s ran %d times", key, n)
 		}
 	}
 }
 
-// checkEnd ends all faults and checks that outcomes are stored and that no key without a lost call stays blocked.
-func (c *cluster) checkEnd(h *history, live []*testNode) {
+// checkFinalState ends all faults, then checks that outcomes are stored and that no key without a lost call stays
+// blocked.
+func (c *cluster) checkFinalState(h *history, live []*testNode) {
 	for _, n := range live {
-		n.set(false, false)
+		n.setFailure(false, false)
 		n.store.SetFaults(storeFaults[0])
 	}
 	time.Sleep(2 * time.Minute)
 	for _, n := range live {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 		if err := n.Drain(ctx); err != nil {
-			h.violate("drain after all faults ended: %v", err)
+			h.addViolation("drain after all faults ended: %v", err)
 		}
 		cancel()
 	}
-	for i := range planKeys {
+	for i := range scheduleKeys {
 		key := fmt.Sprint("key-", i)
 		for digest := range byte(2) {
-			h.call(c, live[i%planNodes], key, planCall{digest: digest, timeout: time.Minute})
+			h.call(c, live[i%scheduleNodes], key, scheduledCall{digest: digest, timeout: time.Minute})
 		}
 	}
 	c.checkRuns(h)
@@ -305,42 +309,42 @@
 }
 
 func (c *cluster) checkStored(h *history) {
-	for i := range planKeys {
+	for i := range scheduleKeys {
 		key := fmt.Sprint("key-", i)
 		r, err := c.table.Get(context.Background(), TableName, rowKey("desk", key))
 		var row pb.ClaimRow
 		if err != nil || proto.Unmarshal(r.Value, &row) != nil {
-			h.violate("%s has no row", key)
+			h.addViolation("%s has no row", key)
 			continue
 		}
 		ran := string(c.service.outcomes[key].Body)
 		switch row.State {
 		case pb.ClaimRow_DONE:
 			if string(row.Outcome.Body) != ran {
-				h.violate("%s: stored %q, ran %q", key, row.Outcome.Body, ran)
+				h.addViolation("%s: stored %q, ran %q", key, row.Outcome.Body, ran)
 			}
 		case pb.ClaimRow_CANCELLED:
-			h.violate("%s is cancelled after a resend without faults", key)
+			h.addViolation("%s is cancelled after a resend without faults", key)
 		}
 	}
 }
 
-// Guards against any order of store faults, pauses, node deaths and lost calls that makes a key run twice, tells
-// "not run" of a call that ran, serves a wrong outcome or leaves a history that no single run explains.
+// Guards against any order of store faults, pauses, node deaths and lost calls that runs a key twice, reports ran:"no"
+// for a call that ran, returns a wrong outcome or leaves a history that is not linearizable with a single run.
 func TestRandomSchedules(t *testing.T) {
 	calls, runs := 0, 0
 	results := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		p := drawPlan(rt)
+		sched := drawSchedule(rt)
 		var h *history
 		var err error
-		synctest.Test(t, func(*testing.T) { h, err = runPlan(p) })
+		synctest.Test(t, func(*testing.T) { h, err = runSchedule(sched) })
 		if err != nil {
-			rt.Fatalf("table seed %d: %v", p.seed, err)
+			rt.Fatalf("table seed %d: %v", sched.seed, err)
 		}
 		for key, ops := range h.ops {
 			if !porcupine.CheckOperations(keyModel, ops) {
-				rt.Fatalf("table seed %d: the calls of %s are not linearizable: %+v", p.seed, key, ops)
+				rt.Fatalf("table seed %d: the calls of %s are not linearizable: %+v", sched.seed, key, ops)
 			}
 			for _, op := range ops {
 				out := op.Output.(callOutput)
@@ -354,6 +358,6 @@
 	})
 	t.Logf("%d calls, %d outcomes, results %v", calls, runs, results)
 	if !t.Failed() && calls < 10_000 {
-		t.Errorf("only %d calls", calls)
+		t.Errorf("only %d calls were made, want at least 10000", calls)
 	}
 }
--- a/pkg/claim/state.go
+++ b/pkg/claim/state.go
@@ -8,7 +8,7 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// phase is the state of an attempt on its node. It moves from claiming to running and finished, or to given up.
+// phase is the state of an attempt on its node. It moves from claiming to running and finished, or to failed.
 type phase int
 
 const (
@@ -18,8 +18,8 @@
 	running
 	// finished: the outcome is known.
 	finished
-	// givenUp: the attempt was not sent and never will be, or its outcome is unknown.
-	givenUp
+	// failed: the attempt was not sent and never will be, or its outcome is unknown.
+	failed
 )
 
 // entry is one attempt of this node. The lock of its shard guards all fields that change.
@@ -28,12 +28,12 @@
 	digest       [32]byte
 
 	phase phase
-	// waiters is the number of callers that wait for the answer.
+	// waiters is the number of callers that wait for the result.
 	waiters int
-	// othersRow is set while the row of another attempt may exist that may have run.
-	othersRow bool
-	outcome   Outcome
-	err       *code.Error
+	// otherMayHaveRun is set while a row of another attempt may exist and that attempt may have run.
+	otherMayHaveRun bool
+	outcome         Outcome
+	err             *code.Error
 	// answered is closed when outcome or err is set.
 	answered chan struct{}
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// result returns the answer; it must be set.
+// result returns the outcome or the error. It may only be called once answered is closed.
 func (e *entry) result() (Outcome, error) {
 	if e.err != nil {
 		return Outcome{}, e.err
@@ -55,8 +55,8 @@
 	return e.outcome, nil
 }
 
-// keptItem is something that is dropped from memory at a time.
-type keptItem struct {
+// retainedItem is an attempt or an attempt id that is dropped from memory at a given time.
+type retainedItem struct {
 	until   time.Time
 	entry   *entry // or nil
 	attempt string // an abandoned attempt
@@ -64,15 +64,15 @@
 
 type shard struct {
 	mu sync.Mutex
-	// entries has the open attempt of each key, or one whose outcome is kept.
+	// entries holds, by row key, the open attempt or the one whose outcome is retained.
 	entries map[string]*entry
-	// abandoned has the ids of attempts that were not sent and never will be.
+	// abandoned holds the ids of attempts that were not sent and never will be.
 	abandoned map[string]struct{}
-	// kept is ascending by time, because all items are kept for the same time.
-	kept []keptItem
+	// retained is in ascending order of time, because all items are retained for the same duration.
+	retained []retainedItem
 }
 
-// The methods below require that the shard is locked.
+// The methods below require the shard's lock.
 
 func (s *shard) remove(e *entry) {
 	if s.entries[e.key] == e {
@@ -89,35 +89,35 @@
 	close(e.answered)
 }
 
-// abandon makes sure that an attempt that was not sent never will be.
+// abandon ends an attempt that was not sent, so that it never will be.
 func (s *shard) abandon(e *entry, refusal *code.Error) {
-	e.phase = givenUp
+	e.phase = failed
 	s.abandoned[e.attempt] = struct{}{}
 	s.remove(e)
 	s.answer(e, Outcome{}, refusal)
 }
 
-func (s *shard) keep(item keptItem) {
-	s.kept = append(s.kept, item)
+func (s *shard) retain(item retainedItem) {
+	s.retained = append(s.retained, item)
 }
 
-func (s *shard) dropOld(now time.Time) {
+func (s *shard) evictExpired(now time.Time) {
 	n := 0
-	for n < len(s.kept) && !now.Before(s.kept[n].until) {
-		if e := s.kept[n].entry; e != nil {
+	for n < len(s.retained) && !now.Before(s.retained[n].until) {
+		if e := s.retained[n].entry; e != nil {
 			s.remove(e)
 		}
-		delete(s.abandoned, s.kept[n].attempt)
+		delete(s.abandoned, s.retained[n].attempt)
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	clear(s.kept[:n]) // releases the outcomes while the slice keeps its memory
-	s.kept = s.kept[n:]
+	clear(s.retained[:n]) // releases the outcomes although the slice keeps its backing array
+	s.retained = s.retained[n:]
 }
 
-// counter is a number that can be waited for.
+// counter is a concurrent counter that callers can wait on to reach zero.
 type counter struct {
 	mu   sync.Mutex
 	n    int
@@ -130,7 +130,7 @@
 	c.n++
 }
 
-func (c *counter) addBelow(limit int) bool {
+func (c *counter) tryAdd(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.n >= limit {
