--- a/pkg/strike/strike.go
+++ b/pkg/strike/strike.go
@@ -1,29 +1,31 @@
-// Package strike finds requests that crash the backend servers they run on.
+// Package strike detects requests that crash the backend servers they run on (poison requests) and quarantines them.
 //
-// When a server crashes, each request in flight on it gets a strike, named by the request's content digest. With one
-// strike a request runs alone, with two it is refused on all nodes. Goal: a request costs at most two servers.
+// When a server crashes, each request in flight on it gets a strike under the request's content digest. A request with
+// one strike runs in isolation, alone on its server; a request with two is refused on all nodes. The goal is that a
+// poison request crashes at most two servers.
 //
 // A strike is provisional for a short delay and is published at once, so that other nodes isolate the request before
-// the decision. It is withdrawn when the crash turns out to be part of a wave: a reclaim notice, an unreachable
-// network, another crash in the failure domain or two elsewhere within the window. A crash that carries a strike of the
-// same request is no sign of a wave, since that is what a poisonous request looks like. Two strikes of which one is
-// provisional hold the request: it neither runs nor is refused until the decision, which takes longer than gossip needs
-// to reach all nodes. An isolated run that succeeds withdraws the strikes of requests that only ran beside the poison.
+// the decision. It is withdrawn when the crash turns out not to be caused by one request: the instance had a reclaim
+// notice, its network was unreachable, or the crash is correlated with others, which means another one in the same
+// failure domain or two elsewhere within the window. A crash that gave the same request a strike does not count as
+// correlated, since a poison request causes just that. A request with two strikes of which one is provisional is held:
+// it neither runs nor is refused until the decision, which takes longer than gossip needs to reach all nodes. An
+// isolated run that succeeds withdraws the strikes of a request that only ran on the same server as a poison request.
 //
 // Records merge by set union: an incident is struck or withdrawn, and withdrawn wins. The merge is commutative and
-// idempotent, whatever the order in which nodes hear of it.
+// idempotent, so the order in which nodes receive records does not matter.
 //
 // Races that remain:
 //   - Copies of a request sent to several nodes at the same moment run before any strike exists. Each may crash one
-//     server. The next ones are held.
-//   - A caller that does not wait for its answer and resends through a node which has not heard of the strike yet (less
-//     than a gossip delay after the crash) costs one server more per such resend.
-//   - On one node, Began refuses a second run of a request with a strike while the first is in flight. Between nodes,
+//     server. Later copies are held.
+//   - A caller that does not wait for the response and resends through a node which has not received the strike yet
+//     (less than a gossip delay after the crash) crashes one more server per such resend.
+//   - On one node, Began refuses a second run of a request with a strike while the first is in flight. Across nodes,
 //     two isolated runs of the same request can overlap.
-//   - Two servers of a failure domain that are lost within the window to one cause, with the same innocent request
-//     retried from the first to the second, look like a poisonous request. Its quarantine ends with the record's expiry.
-//   - An unrelated crash in the same failure domain within the window makes a poisonous request look innocent once. Two
-//     different poisonous requests that crash servers within one window excuse each other for that time.
+//   - Two servers of a failure domain that are lost within the window to a common cause, with the same harmless request
+//     retried from the first to the second, look like a poison request. Its quarantine ends when the record expires.
+//   - An unrelated crash in the same failure domain within the window makes a poison request look harmless once. Two
+//     different poison requests that crash servers within one window clear each other for that time.
 package strike
 
 import (
@@ -34,10 +36,11 @@
 	"time"
 )
 
-// State tells how a request may run.
+// State is the restriction on running a request.
 type State uint8
 
-// The states. Held means that a decision is pending: the request waits and asks again.
+// The states. Clear: the request runs normally. Isolate: it runs alone on its server, once at a time. Held: a decision
+// is pending, and the request waits and checks its state again. Quarantined: it is refused.
 const (
 	Clear State = iota
 	Isolate
@@ -52,15 +55,16 @@
 
 // Options configures a Tracker. Zero values give the defaults.
 type Options struct {
-	// Window is the time within which crashes belong together.
+	// Window is the largest time between two crashes that are considered correlated.
 	Window time.Duration
-	// Delay is the time from a crash to its decision. It must be longer than gossip needs to reach all nodes.
+	// Delay is the time from a crash to the decision on its strikes. It must be longer than gossip needs to reach all
+	// nodes.
 	Delay time.Duration
-	// Linger is how long after a broken connection a crash of the server still strikes the request.
+	// Linger is how long after the connection broke the request still gets a strike when the server crashes.
 	Linger time.Duration
-	// Expiry is how long a record lives after its last change.
+	// Expiry is how long a record is kept after its last change.
 	Expiry time.Duration
-	// MaxRecords bounds the digests with strikes.
+	// MaxRecords bounds the number of digests with a record.
 	MaxRecords int
 }
 
@@ -76,58 +80,61 @@
 	withdrawnMark     = "-"
 )
 
-// Crash describes a server that went down.
+// Crash describes a server that crashed or became unreachable.
 type Crash struct {
 	Server, Domain string
-	// Started is the server's start time in Unix milliseconds. It tells two crashes of one server apart, and makes the
+	// Started is the server's start time in Unix milliseconds. It distinguishes two crashes of one server, and makes the
 	// same crash seen by two nodes count once.
 	Started int64
-	// HadNotice is set when the instance had a reclaim notice; Unreachable when the network to it, and not the server,
-	// may have failed.
+	// HadNotice is set when the instance had a reclaim notice, Unreachable when the network to the server may have failed
+	// rather than the server.
 	HadNotice, Unreachable bool
 }
 
 func (c *Crash) incident() string { return c.Server + "#" + strconv.FormatInt(c.Started, 10) }
 
-// ServerOf returns the server of an incident as a Record names it.
+// ServerOf returns the server of an incident, given in the form that Record uses.
 func ServerOf(incident string) string {
 	server, _, _ := strings.Cut(strings.TrimPrefix(incident, withdrawnMark), "#")
 	return server
 }
 
-// Record is the gossiped value of a digest. Servers holds incidents as "SERVER#START"; a leading "-" withdraws one.
+// Record is the gossiped value of a digest. Servers holds incidents as "SERVER#START"; a leading "-" marks a withdrawn
+// one.
 type Record struct {
 	Servers []string
-	// Quarantined is set by a node that has decided on two strikes. It counts only while two are not withdrawn.
+	// Quarantined is set by a node that has decided on two strikes. It has an effect only while at least two strikes are
+	// not withdrawn.
 	Quarantined bool
 }
 
-// Change is a record that other nodes should hear of.
+// Change is a record to publish to other nodes.
 type Change struct {
 	Digest string
 	Record Record
 }
 
-// Tracker holds the strikes one node knows. Its methods may be called from several goroutines; each takes the time.
+// Tracker holds the strikes that one node knows. Its methods may be called concurrently and get the current time from
+// the caller.
 type Tracker struct {
 	opts Options
 
-	mu      sync.Mutex
-	running map[string]map[*Run]bool // by server; interrupted runs included
-	flights map[string]int           // by digest
-	// interrupted holds, by digest, the runs whose connection broke and whose server may prove to have crashed.
+	mu       sync.Mutex
+	running  map[string]map[*Run]bool // by server; interrupted runs included
+	inFlight map[string]int           // by digest
+	// interrupted holds, by digest, the runs whose connection broke and whose server may turn out to have crashed.
 	interrupted map[string][]*Run
 	records     map[string]*record
-	crashes     []crash // of the last window and delay
+	crashes     []crash // within the last Window plus Delay
 	changed     map[string]bool
 }
 
-// Outcome tells how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome uint8
 
-// The outcomes. Completed withdraws the strikes the request had when the run began. After Interrupted, which means that
-// the connection broke, the run can still be struck for a while, since the crash is often noticed later. Abandoned
-// stands for every other end, such as a cancel by the caller or a refusal by the server.
+// The outcomes. Completed withdraws the strikes that the request had when the run began. Interrupted means that the
+// connection broke; a crash of the server within Options.Linger still gives the request a strike, since crashes are
+// often noticed later. Abandoned is any other end, such as a cancellation by the caller or a refusal by the server.
 const (
 	Abandoned Outcome = iota
 	Completed
@@ -144,7 +151,7 @@
 }
 
 type record struct {
-	struck      map[string]time.Time // incident to when it was heard of
+	struck      map[string]time.Time // incident to the time at which this node learned of it
 	withdrawn   map[string]bool
 	quarantined bool
 	changedAt   time.Time
@@ -153,7 +160,7 @@
 type crash struct {
 	incident, domain string
 	at               time.Time
-	digests          []string // that got a provisional strike
+	digests          []string // of the requests that got a provisional strike
 	decided          bool
 }
 
@@ -177,21 +184,21 @@
 	return &Tracker{
 		opts:        opts,
 		running:     make(map[string]map[*Run]bool),
-		flights:     make(map[string]int),
+		inFlight:    make(map[string]int),
 		interrupted: make(map[string][]*Run),
 		records:     make(map[string]*record),
 		changed:     make(map[string]bool),
 	}
 }
 
-// State tells how a request may run now. For Held, wait is the time until the decision.
+// State returns the current state of a request. For Held, wait is the time until the decision.
 func (t *Tracker) State(digest string, now time.Time) (state State, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stateOf(digest, now)
 }
 
-// stateOf counts strikes, and interrupted runs as strikes that may follow.
+// stateOf counts the strikes, and counts interrupted runs as possible strikes.
 func (t *Tracker) stateOf(digest string, now time.Time) (State, time.Duration) {
 	struck, newest := 0, time.Time{}
 	if r := t.records[digest]; r != nil && now.Sub(r.changedAt) < t.opts.Expiry {
@@ -227,13 +234,13 @@
 	return a
 }
 
-// Began counts a request as in flight on a server. It returns false, and counts nothing, when the request must not run:
-// it is held or quarantined, or it has a strike and is in flight already.
+// Began records that a request is in flight on a server. It returns false and records nothing when the request must not
+// run, because it is held or quarantined, or is to run in isolation and is already in flight.
 func (t *Tracker) Began(server, digest string, now time.Time) (*Run, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, _ := t.stateOf(digest, now)
-	if state >= Held || state == Isolate && t.flights[digest] > 0 {
+	if state >= Held || state == Isolate && t.inFlight[digest] > 0 {
 		return nil, false
 	}
 	r := &Run{tracker: t, server: server, digest: digest, began: now}
@@ -241,11 +248,11 @@
 		t.running[server] = make(map[*Run]bool)
 	}
 	t.running[server][r] = true
-	t.flights[digest]++
+	t.inFlight[digest]++
 	return r, true
 }
 
-// Ended ends a run. Further calls do nothing.
+// Ended records the end of a run. Further calls do nothing.
 func (r *Run) Ended(outcome Outcome, now time.Time) {
 	t := r.tracker
 	t.mu.Lock()
@@ -254,25 +261,25 @@
 		return
 	}
 	r.ended = true
-	if t.flights[r.digest]--; t.flights[r.digest] <= 0 {
-		delete(t.flights, r.digest)
+	if t.inFlight[r.digest]--; t.inFlight[r.digest] <= 0 {
+		delete(t.inFlight, r.digest)
 	}
 	if !t.running[r.server][r] {
-		return // the server crashed meanwhile
+		return // the server crashed during the run
 	}
 	if outcome == Interrupted {
 		r.interruptedAt = now
 		t.interrupted[r.digest] = append(t.interrupted[r.digest], r)
 		return
 	}
-	t.forget(r)
+	t.removeRun(r)
 	if outcome == Completed {
 		t.withdrawBefore(r.digest, r.began, now)
 	}
 }
 
-// forget drops a run that no crash can strike any more.
-func (t *Tracker) forget(r *Run) {
+// removeRun removes a run that no later crash can give a strike.
+func (t *Tracker) removeRun(r *Run) {
 	delete(t.running[r.server], r)
 	if len(t.running[r.server]) == 0 {
 		delete(t.running, r.server)
@@ -308,28 +315,28 @@
 	t.changed[digest] = true
 }
 
-// Crashed gives a provisional strike to each request in flight on a server that went down. Tick decides on it later.
-// The same crash may be told again, for example when a notice becomes known: the requests are then cleared of it.
+// Crashed gives a provisional strike to each request in flight on a crashed server. Tick decides on it later. The same
+// crash may be reported again; if HadNotice or Unreachable is set by then, its strikes are withdrawn.
 func (t *Tracker) Crashed(c Crash, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	incident := c.incident()
-	excused := c.HadNotice || c.Unreachable
+	externalCause := c.HadNotice || c.Unreachable
 	for i := range t.crashes {
 		if t.crashes[i].incident == incident {
-			if excused {
-				t.excuse(&t.crashes[i], now)
+			if externalCause {
+				t.withdrawCrash(&t.crashes[i], now)
 			}
 			return
 		}
 	}
-	event := crash{incident: incident, domain: c.Domain, at: now, decided: excused}
+	event := crash{incident: incident, domain: c.Domain, at: now, decided: externalCause}
 	for r := range t.running[c.Server] {
-		if !excused && !slices.Contains(event.digests, r.digest) {
-			t.strike(r.digest, incident, now)
+		if !externalCause && !slices.Contains(event.digests, r.digest) {
+			t.addStrike(r.digest, incident, now)
 			event.digests = append(event.digests, r.digest)
 		}
-		t.forget(r)
+		t.removeRun(r)
 	}
 	if len(t.crashes) >= maxCrashes {
 		t.crashes = t.crashes[1:]
@@ -337,7 +344,7 @@
 	t.crashes = append(t.crashes, event)
 }
 
-func (t *Tracker) excuse(event *crash, now time.Time) {
+func (t *Tracker) withdrawCrash(event *crash, now time.Time) {
 	for _, digest := range event.digests {
 		if r := t.records[digest]; r != nil {
 			t.withdraw(digest, r, event.incident, now)
@@ -346,8 +353,8 @@
 	event.decided = true
 }
 
-func (t *Tracker) strike(digest, incident string, now time.Time) {
-	r := t.recordOf(digest, now)
+func (t *Tracker) addStrike(digest, incident string, now time.Time) {
+	r := t.recordFor(digest, now)
 	if r.withdrawn[incident] || len(r.struck)+len(r.withdrawn) >= maxIncidents {
 		return
 	}
@@ -359,7 +366,7 @@
 	t.changed[digest] = true
 }
 
-func (t *Tracker) recordOf(digest string, now time.Time) *record {
+func (t *Tracker) recordFor(digest string, now time.Time) *record {
 	r := t.records[digest]
 	if r == nil || now.Sub(r.changedAt) >= t.opts.Expiry {
 		if r == nil && len(t.records) >= t.opts.MaxRecords {
@@ -371,8 +378,8 @@
 	return r
 }
 
-// evict drops the record with the fewest strikes, of those the oldest, so that a flood of single strikes does not lift a
-// quarantine.
+// evict drops the record with the fewest strikes, and the oldest among equals, so that many requests with one strike
+// cannot evict the record of a quarantined one.
 func (t *Tracker) evict() {
 	victim := ""
 	for digest, r := range t.records {
@@ -385,8 +392,8 @@
 	delete(t.changed, victim)
 }
 
-// Tick decides on the crashes whose delay has passed and drops expired records. It should be called a few times a
-// second.
+// Tick decides on the crashes whose delay has passed, and drops expired records and interrupted runs. It should be
+// called a few times per second.
 func (t *Tracker) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -411,7 +418,7 @@
 	for _, runs := range t.interrupted {
 		for _, r := range slices.Clone(runs) {
 			if now.Sub(r.interruptedAt) >= t.opts.Linger {
-				t.forget(r)
+				t.removeRun(r)
 			}
 		}
 	}
@@ -424,7 +431,7 @@
 		if r == nil {
 			continue
 		}
-		if t.inWave(event, r) {
+		if t.isCorrelated(event, r) {
 			t.withdraw(digest, r, event.incident, now)
 			continue
 		}
@@ -436,10 +443,10 @@
 	}
 }
 
-// inWave tells whether a crash belongs to a wave, as seen from one request: other crashes that the request has no
-// strike from happened within the window, one in the same failure domain or two anywhere. One anywhere is enough when
-// the request has two strikes: three servers at once are a wave that met a retried request.
-func (t *Tracker) inWave(event *crash, r *record) bool {
+// isCorrelated reports whether a crash is correlated with others, as seen from one request. Only crashes within the
+// window that gave the request no strike count: one in the same failure domain or two anywhere. One anywhere is enough
+// when the request has two strikes, since three servers lost at once indicate a common cause that hit a retried request.
+func (t *Tracker) isCorrelated(event *crash, r *record) bool {
 	others := 0
 	for i := range t.crashes {
 		other := &t.crashes[i]
@@ -457,14 +464,14 @@
 	return others >= 2 || others == 1 && len(r.struck) >= quarantineStrikes
 }
 
-// Merge takes the record of a digest heard from another node and reports whether it changed this node's.
+// Merge merges the record of a digest received from another node and reports whether this node's record changed.
 func (t *Tracker) Merge(digest string, heard Record, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(heard.Servers) == 0 {
 		return false
 	}
-	r := t.recordOf(digest, now)
+	r := t.recordFor(digest, now)
 	changed := false
 	for _, name := range heard.Servers {
 		incident, withdrawn := strings.CutPrefix(name, withdrawnMark)
@@ -488,7 +495,8 @@
 	if changed {
 		r.changedAt = now
 	}
-	// Several nodes write the same gossip key. What the sender lacked must be published again, or it would be lost.
+	// Several nodes write the same gossip key. If the sender's record lacks anything that this node has, the merged record
+	// must be published again, or the difference would be lost.
 	if !sameRecord(r.export(), heard) {
 		t.changed[digest] = true
 	}
@@ -512,7 +520,7 @@
 	return out
 }
 
-// Changes returns the records that changed since the last call, ordered by digest.
+// Changes returns the records to publish: those that changed since the last call, ordered by digest.
 func (t *Tracker) Changes() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -527,7 +535,7 @@
 	return out
 }
 
-// Quarantines returns the digests that are refused now, ordered.
+// Quarantines returns the digests that are quarantined now, in ascending order.
 func (t *Tracker) Quarantines(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/strike/strike_test.go
+++ b/pkg/strike/strike_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// net runs the trackers of several nodes in virtual time with gossip of 300 ms; a tick is 50 ms.
-type net struct {
+// testCluster runs the trackers of several nodes in virtual time. Gossip takes 300 ms; a tick is 50 ms.
+type testCluster struct {
 	now     time.Time
 	nodes   []*Tracker
 	pending []message
@@ -22,133 +22,135 @@
 	change Change
 }
 
-func newNet(n int) *net {
-	w := &net{now: time.UnixMilli(0)}
+func newTestCluster(n int) *testCluster {
+	tc := &testCluster{now: time.UnixMilli(0)}
 	for range n {
-		w.nodes = append(w.nodes, New(Options{}))
+		tc.nodes = append(tc.nodes, New(Options{}))
 	}
-	return w
+	return tc
 }
 
-func (w *net) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(50 * time.Millisecond)
-		for i, node := range w.nodes {
-			node.Tick(w.now)
+func (tc *testCluster) run(d time.Duration) {
+	for end := tc.now.Add(d); tc.now.Before(end); {
+		tc.now = tc.now.Add(50 * time.Millisecond)
+		for i, node := range tc.nodes {
+			node.Tick(tc.now)
 			for _, c := range node.Changes() {
-				w.pending = append(w.pending, message{w.now.Add(300 * time.Millisecond), i, c})
+				tc.pending = append(tc.pending, message{tc.now.Add(300 * time.Millisecond), i, c})
 			}
 		}
-		kept := w.pending[:0]
-		for _, m := range w.pending {
-			if m.at.After(w.now) {
+		kept := tc.pending[:0]
+		for _, m := range tc.pending {
+			if m.at.After(tc.now) {
 				kept = append(kept, m)
 				continue
 			}
-			for i, node := range w.nodes {
+			for i, node := range tc.nodes {
 				if i != m.from {
-					node.Merge(m.change.Digest, m.change.Record, w.now)
+					node.Merge(m.change.Digest, m.change.Record, tc.now)
 				}
 			}
 		}
-		w.pending = kept
+		tc.pending = kept
 	}
 }
 
-// crashed tells all nodes that a server went down.
-func (w *net) crashed(c Crash) {
-	for _, node := range w.nodes {
-		node.Crashed(c, w.now)
+// reportCrash reports a crashed server to all nodes.
+func (tc *testCluster) reportCrash(c Crash) {
+	for _, node := range tc.nodes {
+		node.Crashed(c, tc.now)
 	}
 }
 
-func (w *net) state(node int, digest string) State {
-	s, _ := w.nodes[node].State(digest, w.now)
+func (tc *testCluster) state(node int, digest string) State {
+	s, _ := tc.nodes[node].State(digest, tc.now)
 	return s
 }
 
-func began(t *testing.T, w *net, node int, server, digest string) *Run {
+func begin(t *testing.T, tc *testCluster, node int, server, digest string) *Run {
 	t.Helper()
-	r, ok := w.nodes[node].Began(server, digest, w.now)
+	r, ok := tc.nodes[node].Began(server, digest, tc.now)
 	assert.Assert(t, ok, "%s on %s", digest, server)
 	return r
 }
 
-// A caller that resends a poisonous request through all nodes must cost at most two servers, although each crash is
-// noticed 200 ms after the connection broke. Innocents that ran beside it must be cleared by a run of their own.
-func TestPoisonCostsTwoServers(t *testing.T) {
-	w := newNet(8)
+// Guards against a poison request that crashes more than two servers when its caller resends it through all nodes,
+// although each crash is noticed 200 ms after the connection broke. Requests that ran on the same servers must be
+// cleared by an isolated run.
+func TestPoisonRequestCrashesAtMostTwoServers(t *testing.T) {
+	tc := newTestCluster(8)
 	lost := 0
 	var innocents []string
 	for resend := range 60 {
-		node := resend % len(w.nodes)
-		// The node retries on its own until the request is refused, then the caller resends through the next node.
+		node := resend % len(tc.nodes)
+		// The node retries by itself until the request is refused. Then the caller resends through the next node.
 		for attempt := 0; attempt < 50; attempt++ {
-			state, wait := w.nodes[node].State("poison", w.now)
+			state, wait := tc.nodes[node].State("poison", tc.now)
 			if state == Quarantined {
 				break
 			}
 			if state == Held {
-				w.run(min(wait, time.Second))
+				tc.run(min(wait, time.Second))
 				continue
 			}
 			server := fmt.Sprintf("s%d", lost)
 			if state == Clear {
 				for k := range 5 {
 					name := fmt.Sprintf("innocent-%d-%d", lost, k)
-					began(t, w, k%8, server, name)
+					begin(t, tc, k%8, server, name)
 					innocents = append(innocents, name)
 				}
 			}
-			run := began(t, w, node, server, "poison")
-			w.run(100 * time.Millisecond)
-			run.Ended(Interrupted, w.now)
-			w.run(200 * time.Millisecond)
-			w.crashed(Crash{Server: server, Domain: "d0", Started: 1})
+			run := begin(t, tc, node, server, "poison")
+			tc.run(100 * time.Millisecond)
+			run.Ended(Interrupted, tc.now)
+			tc.run(200 * time.Millisecond)
+			tc.reportCrash(Crash{Server: server, Domain: "d0", Started: 1})
 			lost++
 		}
-		assert.Equal(t, w.state(node, "poison"), Quarantined)
-		w.run(50 * time.Millisecond)
+		assert.Equal(t, tc.state(node, "poison"), Quarantined)
+		tc.run(50 * time.Millisecond)
 	}
 	assert.Equal(t, lost, 2)
 	for i, name := range innocents {
-		if w.state(0, name) == Clear {
-			continue // cleared because the second crash looked like a wave from its side
+		if tc.state(0, name) == Clear {
+			continue // cleared already, because for this request the second crash looked correlated
 		}
-		run := began(t, w, i%8, "fresh", name)
-		w.run(100 * time.Millisecond)
-		run.Ended(Completed, w.now)
-		w.run(time.Second)
-		for node := range w.nodes {
-			assert.Equal(t, w.state(node, name), Clear, name)
+		run := begin(t, tc, i%8, "fresh", name)
+		tc.run(100 * time.Millisecond)
+		run.Ended(Completed, tc.now)
+		tc.run(time.Second)
+		for node := range tc.nodes {
+			assert.Equal(t, tc.state(node, name), Clear, name)
 		}
 	}
-	assert.DeepEqual(t, w.nodes[5].Quarantines(w.now), []string{"poison"})
+	assert.DeepEqual(t, tc.nodes[5].Quarantines(tc.now), []string{"poison"})
 }
 
-// Innocents that ran beside the poison must run alone until such a run succeeds, and then be clear on all nodes.
-func TestInnocentIsClearedByIsolatedRun(t *testing.T) {
-	w := newNet(3)
-	began(t, w, 0, "s1", "poison")
-	began(t, w, 1, "s1", "innocent")
-	w.crashed(Crash{Server: "s1", Domain: "d0", Started: 1})
-	w.run(4 * time.Second)
-	for node := range w.nodes {
-		assert.Equal(t, w.state(node, "innocent"), Isolate)
+// Guards against a request that is not isolated after it ran on the same server as a poison request, or is not clear on
+// all nodes after an isolated run succeeded.
+func TestUnrelatedRequestIsClearedByIsolatedRun(t *testing.T) {
+	tc := newTestCluster(3)
+	begin(t, tc, 0, "s1", "poison")
+	begin(t, tc, 1, "s1", "innocent")
+	tc.reportCrash(Crash{Server: "s1", Domain: "d0", Started: 1})
+	tc.run(4 * time.Second)
+	for node := range tc.nodes {
+		assert.Equal(t, tc.state(node, "innocent"), Isolate)
 	}
-	run := began(t, w, 2, "s2", "innocent")
-	_, ok := w.nodes[2].Began("s3", "innocent", w.now)
-	assert.Assert(t, !ok, "a request with a strike runs once at a time")
-	run.Ended(Completed, w.now)
-	w.run(time.Second)
-	for node := range w.nodes {
-		assert.Equal(t, w.state(node, "innocent"), Clear)
-		assert.Equal(t, w.state(node, "poison"), Isolate)
+	run := begin(t, tc, 2, "s2", "innocent")
+	_, ok := tc.nodes[2].Began("s3", "innocent", tc.now)
+	assert.Assert(t, !ok, "a second run of a request with a strike has started")
+	run.Ended(Completed, tc.now)
+	tc.run(time.Second)
+	for node := range tc.nodes {
+		assert.Equal(t, tc.state(node, "innocent"), Clear)
+		assert.Equal(t, tc.state(node, "poison"), Isolate)
 	}
 }
 
-// A wave of reclaims must leave no strike, with notice or without, in one domain or in several.
-func TestWaveStrikesNobody(t *testing.T) {
+// Guards against strikes that remain after a series of reclaims, with or without notice, in one domain or in several.
+func TestCorrelatedCrashesLeaveNoStrike(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		servers int
@@ -160,53 +162,53 @@
 		{"notice", 1, 1, Crash{HadNotice: true}},
 		{"unreachable network", 1, 1, Crash{Unreachable: true}},
 	} {
-		w := newNet(4)
+		tc := newTestCluster(4)
 		var names []string
 		var retried *Run
 		for s := range test.servers {
 			for k := range 6 {
 				name := fmt.Sprintf("r%d-%d", s, k)
-				run := began(t, w, k%4, fmt.Sprint("s", s), name)
+				run := begin(t, tc, k%4, fmt.Sprint("s", s), name)
 				if name == "r0-0" {
 					retried = run
 				}
 				names = append(names, name)
 			}
 		}
-		// One request is retried from server to server while the wave goes on.
+		// One request is retried on the second server while the servers are lost one after another.
 		for s := range test.servers {
 			if s == 1 {
-				retried.Ended(Interrupted, w.now)
-				began(t, w, 0, "s1", "r0-0")
+				retried.Ended(Interrupted, tc.now)
+				begin(t, tc, 0, "s1", "r0-0")
 			}
 			c := test.crash
 			c.Server, c.Domain, c.Started = fmt.Sprint("s", s), fmt.Sprint("d", s%test.domains), 1
-			w.crashed(c)
-			w.run(300 * time.Millisecond)
+			tc.reportCrash(c)
+			tc.run(300 * time.Millisecond)
 		}
-		w.run(6 * time.Second)
+		tc.run(6 * time.Second)
 		for _, name := range names {
-			for node := range w.nodes {
-				assert.Equal(t, w.state(node, name), Clear, "%s: %s", test.name, name)
+			for node := range tc.nodes {
+				assert.Equal(t, tc.state(node, name), Clear, "%s: %s", test.name, name)
 			}
 		}
 	}
 }
 
-// A notice that becomes known after the crash must withdraw the strikes.
+// Guards against strikes that remain although a reclaim notice becomes known after the crash.
 func TestLateNotice(t *testing.T) {
-	w := newNet(2)
-	began(t, w, 0, "s1", "a")
-	w.crashed(Crash{Server: "s1", Domain: "d0", Started: 1})
-	assert.Equal(t, w.state(0, "a"), Isolate)
-	w.run(time.Second)
-	w.crashed(Crash{Server: "s1", Domain: "d0", Started: 1, HadNotice: true})
-	w.run(time.Second)
-	assert.Equal(t, w.state(0, "a"), Clear)
-	assert.Equal(t, w.state(1, "a"), Clear)
+	tc := newTestCluster(2)
+	begin(t, tc, 0, "s1", "a")
+	tc.reportCrash(Crash{Server: "s1", Domain: "d0", Started: 1})
+	assert.Equal(t, tc.state(0, "a"), Isolate)
+	tc.run(time.Second)
+	tc.reportCrash(Crash{Server: "s1", Domain: "d0", Started: 1, HadNotice: true})
+	tc.run(time.Second)
+	assert.Equal(t, tc.state(0, "a"), Clear)
+	assert.Equal(t, tc.state(1, "a"), Clear)
 }
 
-// Nodes that hear the same records in different orders, and some of them twice, must agree.
+// Guards against nodes that disagree after they received the same records in different orders and more than once.
 func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	records := []Record{
@@ -230,7 +232,8 @@
 	}
 }
 
-// A flood of strikes must not use more memory than configured, nor lift a quarantine; records must expire.
+// Guards against more records than configured, a quarantine that is lifted by many requests with one strike, and records
+// that do not expire.
 func TestBoundsAndExpiry(t *testing.T) {
 	tr := New(Options{MaxRecords: 100})
 	now := time.UnixMilli(0)
@@ -246,15 +249,15 @@
 	assert.Equal(t, len(tr.records)+len(tr.changed), 0)
 }
 
-// A request whose connection broke must be isolated, and held after the second time, before any crash is noticed; when
-// no crash follows, it must be free again.
-func TestInterruptedRunIsSuspect(t *testing.T) {
-	w := newNet(1)
+// Guards against a request that is not isolated after its connection broke, or not held after the second time, before
+// any crash is noticed, and against one that stays restricted when no crash follows.
+func TestInterruptedRunsRestrictTheRequest(t *testing.T) {
+	tc := newTestCluster(1)
 	for _, want := range []State{Isolate, Held} {
-		began(t, w, 0, "s-"+want.String(), "a").Ended(Interrupted, w.now)
-		assert.Equal(t, w.state(0, "a"), want)
+		begin(t, tc, 0, "s-"+want.String(), "a").Ended(Interrupted, tc.now)
+		assert.Equal(t, tc.state(0, "a"), want)
 	}
-	w.run(defaultLinger)
-	assert.Equal(t, w.state(0, "a"), Clear)
-	assert.Equal(t, len(w.nodes[0].running)+len(w.nodes[0].interrupted), 0)
+	tc.run(defaultLinger)
+	assert.Equal(t, tc.state(0, "a"), Clear)
+	assert.Equal(t, len(tc.nodes[0].running)+len(tc.nodes[0].interrupted), 0)
 }
