--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,14 +1,15 @@
-// Package lease grants leases with fencing numbers over the table service.
+// Package lease grants leases with fencing numbers, stored in the table service.
 //
-// A lease is one row, which is taken and renewed by conditional writes and never deleted, so that its fencing
-// number rises with each holder. The holder's deadline is the time right before it sent its last confirmed write
-// plus the duration. A successor waits the duration that the row names, counted from when it first read the present
-// version, plus the longest time of an order; then it writes under the condition that the version is still the same.
-// Since a row cannot be read before its write was sent, the holder's deadline has passed by then. Both measure with
-// their own monotonic clocks and never compare wall clocks; clockDrift allows for different rates.
+// A lease is one row, which is acquired and renewed by conditional writes and never deleted, so that its fencing
+// number increases with each holder. The holder's deadline is the time right before it sent its last confirmed write,
+// plus the duration. A successor waits for the duration stored in the row, counted from its first read of the current
+// version, plus the longest time of an order (an operation that the lease protects). Then it writes under the condition
+// that the version is unchanged. Since a row cannot be read before its write was sent, the holder's deadline has passed
+// by then. Both nodes measure time with their own monotonic clocks and never compare wall clocks; clockDrift allows for
+// clocks that run at different rates.
 //
 // The holder calls Held.Check right before each order and bounds each order by Options.MaxOrderTime. The holder also
-// counts time by its wall clock, since the monotonic clock may stand still while a virtual machine is suspended.
+// measures time by its wall clock, since the monotonic clock may stop while a virtual machine is suspended.
 //
 // A holder costs one row write per third of the duration; each waiting node costs one read in the same time.
 package lease
@@ -28,7 +29,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// TableName is the table that holds the rows; their key is the name of the lease.
+// TableName is the table of the lease rows. A row's key is the name of the lease.
 const TableName = "lease"
 
 // Defaults of Options.
@@ -38,10 +39,10 @@
 	DefaultStoreTimeout = time.Second
 )
 
-// clockDrift is the part of a wait that a successor adds, for clocks that run at different rates.
+// clockDrift is the fraction by which a successor extends its wait, for clocks that run at different rates.
 const clockDrift = 0.01
 
-// Parts of the duration.
+// Divisors of the duration: renewals are due at a third of it, retries at a twelfth.
 const (
 	renewalsPerDuration = 3
 	retriesPerDuration  = 12
@@ -53,7 +54,7 @@
 	Node  string
 	// ID returns a string that never repeats; the default is 128 random bits.
 	ID func() string
-	// Now is the clock; its values need a monotonic reading.
+	// Now is the clock. Its values must carry a monotonic clock reading.
 	Now func() time.Time
 	// Duration is how long a lease is valid without renewal.
 	Duration time.Duration
@@ -66,7 +67,7 @@
 // Leases acquires leases for one node. Its methods may be called concurrently.
 type Leases struct{ o Options }
 
-// New returns Leases.
+// New returns Leases with the given options; zero values of optional fields give the defaults.
 func New(o Options) *Leases {
 	if o.ID == nil {
 		o.ID = randomID
@@ -92,14 +93,14 @@
 	return hex.EncodeToString(b[:])
 }
 
-// span is a period of validity that begins at a time on both clocks of the node.
-type span struct {
+// validity is a period in which a lease is valid. Its start has a reading of the monotonic and of the wall clock.
+type validity struct {
 	start    time.Time
 	duration time.Duration
 }
 
-// contains uses the clock that has advanced further.
-func (s span) contains(now time.Time) bool {
+// contains reports whether the period contains now, by whichever of the two clocks has advanced further.
+func (s validity) contains(now time.Time) bool {
 	return now.Sub(s.start) < s.duration && now.Round(0).Sub(s.start.Round(0)) < s.duration
 }
 
@@ -107,22 +108,23 @@
 type acquisition struct {
 	l    *Leases
 	name string
-	// holder identifies this acquisition, so that nobody takes the row of an earlier one for its own.
+	// holder identifies this acquisition, so that the row of an earlier acquisition is not mistaken for its own.
 	holder string
-	// version, row and seenAt are the newest row and when it was first read; version is 0 without a row.
+	// row is the newest row that was read, version its version (0 if there is none) and seenAt when it was first read.
 	version uint64
 	row     *pb.LeaseRow
 	seenAt  time.Time
-	// sent is when the fencing number was first written.
-	sent    time.Time
-	fencing uint64
+	// firstSentAt is when the first write with the fencing number was sent.
+	firstSentAt time.Time
+	fencing     uint64
 }
 
-// Acquire waits for the lease until ctx ends. The lease is renewed in the background until it is lost or released.
+// Acquire waits until it has acquired the lease, which is then renewed in the background until it is lost or released.
+// When ctx ends first, it returns the error of ctx.
 func (l *Leases) Acquire(ctx context.Context, name string) (*Held, error) {
 	a := &acquisition{l: l, name: name, holder: l.o.Node + "/" + l.o.ID(), row: &pb.LeaseRow{}}
 	for {
-		held, wait := a.step(ctx)
+		held, wait := a.tryAcquire(ctx)
 		if held != nil {
 			go held.renewLoop()
 			return held, nil
@@ -133,8 +135,8 @@
 	}
 }
 
-// step reads the row, takes it if it is free, and otherwise returns how long to wait.
-func (a *acquisition) step(ctx context.Context) (*Held, time.Duration) {
+// tryAcquire reads the row and acquires the lease if it is free. Otherwise it returns how long to wait.
+func (a *acquisition) tryAcquire(ctx context.Context) (*Held, time.Duration) {
 	o := &a.l.o
 	retry := o.Duration / retriesPerDuration
 	version, row, err := a.l.read(ctx, a.name)
@@ -145,32 +147,33 @@
 	if err == nil && version > a.version {
 		a.version, a.row, a.seenAt = version, row, now
 	}
-	if held := a.own(now); held != nil {
+	if held := a.confirmEarlierWrite(now); held != nil {
 		return held, 0
 	}
 	if left := a.freeAt().Sub(now); a.version != 0 && left > 0 {
 		return nil, min(left, o.Duration/renewalsPerDuration)
 	}
-	return a.take(ctx), retry
+	return a.writeRow(ctx), retry
 }
 
-// own returns the lease when the row shows that an earlier write of this acquisition took effect.
-func (a *acquisition) own(now time.Time) *Held {
-	valid := span{a.sent, a.l.o.Duration}
+// confirmEarlierWrite returns the lease if the row shows that an earlier write of this acquisition took effect.
+func (a *acquisition) confirmEarlierWrite(now time.Time) *Held {
+	valid := validity{a.firstSentAt, a.l.o.Duration}
 	if a.row.Holder != a.holder || a.row.Fencing != a.fencing || !valid.contains(now) {
 		return nil
 	}
-	return a.held(a.version, valid)
+	return a.newHeld(a.version, valid)
 }
 
-// freeAt is when no order of the holder in the row can run any more.
+// freeAt returns the time from which no order of the row's holder can still be running.
 func (a *acquisition) freeAt() time.Time {
 	wait := time.Duration(a.row.DurationMs)*time.Millisecond + a.l.o.MaxOrderTime
 	return a.seenAt.Add(wait + time.Duration(clockDrift*float64(wait)))
 }
 
-// take writes the row under the condition that it is as it was last read.
-func (a *acquisition) take(ctx context.Context) *Held {
+// writeRow writes a row for this acquisition under the condition that the row has not changed since it was last read. It
+// returns nil when the write is not confirmed in time.
+func (a *acquisition) writeRow(ctx context.Context) *Held {
 	cond := platform.Condition{Kind: platform.VersionIs, Version: a.version}
 	if a.version == 0 {
 		cond = platform.Condition{Kind: platform.Absent}
@@ -178,18 +181,18 @@
 	row := a.l.row(a.holder, a.row.Fencing+1, 1)
 	start := a.l.o.Now()
 	if row.Fencing != a.fencing {
-		a.sent, a.fencing = start, row.Fencing
+		a.firstSentAt, a.fencing = start, row.Fencing
 	}
 	version, err := a.l.write(ctx, a.name, row, cond)
-	valid := span{start, a.l.o.Duration}
+	valid := validity{start, a.l.o.Duration}
 	if err != nil || !valid.contains(a.l.o.Now()) {
-		// A lease that ran out during a pause counts like that of another holder.
+		// A lease that expired during a pause is treated like that of another holder.
 		return nil
 	}
-	return a.held(version, valid)
+	return a.newHeld(version, valid)
 }
 
-func (a *acquisition) held(version uint64, valid span) *Held {
+func (a *acquisition) newHeld(version uint64, valid validity) *Held {
 	return &Held{l: a.l, name: a.name, holder: a.holder, fencing: a.fencing, version: version, valid: valid,
 		renewal: 1, stop: make(chan struct{}), done: make(chan struct{})}
 }
@@ -223,7 +226,7 @@
 	return versions[0], nil
 }
 
-// Held is a lease that was acquired.
+// Held is an acquired lease. Its methods may be called concurrently.
 type Held struct {
 	l            *Leases
 	name, holder string
@@ -231,19 +234,20 @@
 
 	stopOnce sync.Once
 	stop     chan struct{}
-	// done is closed when the renewal has ended.
+	// done is closed when renewLoop has returned.
 	done chan struct{}
 
 	mu       sync.Mutex
-	valid    span
+	valid    validity
 	released bool
 
-	// version and renewal belong to the goroutine of renewLoop until done is closed.
+	// version and renewal are owned by the goroutine of renewLoop until done is closed.
 	version uint64
 	renewal uint64
 }
 
-// Check tells whether the lease is valid now. Call it right before each order and give the order the number.
+// Check reports whether the lease is valid now. Call it right before each order and send the fencing number with the
+// order.
 func (h *Held) Check() (fencing uint64, ok bool) {
 	now := h.l.o.Now()
 	h.mu.Lock()
@@ -251,11 +255,11 @@
 	return h.fencing, !h.released && h.valid.contains(now)
 }
 
-// Done is closed when the lease is lost or released. Check may fail before.
+// Done returns a channel that is closed when the lease is lost or released. Check may already fail before that.
 func (h *Held) Done() <-chan struct{} { return h.done }
 
-// Release ends the lease, so that a successor waits only for the longest order. When it fails, the successor waits
-// the whole duration.
+// Release ends the lease, so that a successor only waits for Options.MaxOrderTime. When it fails, the successor also
+// waits for the whole duration.
 func (h *Held) Release(ctx context.Context) error {
 	h.mu.Lock()
 	h.released = true
@@ -291,7 +295,7 @@
 	}
 }
 
-// renew repeats one renewal until it is confirmed. It returns false when the lease is lost or released.
+// renew repeats the write of one renewal until it is confirmed. It returns false when the lease is lost or released.
 func (h *Held) renew(ctx context.Context) bool {
 	row := h.l.row(h.holder, h.fencing, h.renewal+1)
 	first := h.l.o.Now()
@@ -303,13 +307,13 @@
 		cond := platform.Condition{Kind: platform.VersionIs, Version: h.version}
 		version, err := h.l.write(ctx, h.name, row, cond)
 		if err == nil {
-			return h.renewed(version, start)
+			return h.extend(version, start)
 		}
 		if !errors.Is(err, platform.ErrUnavailable) {
 			// The write may have taken effect; a read that does not show it may be stale.
 			version, found, err := h.l.read(ctx, h.name)
 			if err == nil && found.Holder == h.holder && found.Renewal == row.Renewal {
-				return h.renewed(version, first)
+				return h.extend(version, first)
 			}
 			if err == nil && found.Holder != h.holder && version > h.version {
 				h.expire()
@@ -322,8 +326,8 @@
 	}
 }
 
-// renewed extends the lease from the time before the confirmed write was sent.
-func (h *Held) renewed(version uint64, start time.Time) bool {
+// extend restarts the lease's period at the time before the confirmed write was sent.
+func (h *Held) extend(version uint64, start time.Time) bool {
 	h.version = version
 	h.renewal++
 	h.mu.Lock()
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -18,7 +18,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict. Another one is set by -rapid.seed.
+// TestMain fixes the seed of rapid, so that every run has the same result. The flag -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// pausedTable holds calls before and after they reach the table while the node's process is paused.
+// pausedTable delays calls before and after they reach the table, to simulate a pause of the node's process.
 type pausedTable struct {
 	*table.Client
 	mu    sync.Mutex
@@ -58,14 +58,14 @@
 	return p.Client.Commit(ctx, m)
 }
 
-func node(tab *table.Table, name string) (*Leases, *pausedTable) {
+func newNode(tab *table.Table, name string) (*Leases, *pausedTable) {
 	store := &pausedTable{Client: tab.NewClient(name)}
 	ids := 0
 	id := func() string { ids++; return fmt.Sprint(ids) }
 	return New(Options{Table: store, Node: name, ID: id}), store
 }
 
-// acquire releases the lease at the end of the test, since virtual time stands still once a test has returned.
+// acquire acquires the lease and releases it at the end of the test, since virtual time stops once a test has returned.
 func acquire(t *testing.T, l *Leases) *Held {
 	t.Helper()
 	h, err := l.Acquire(t.Context(), "plan")
@@ -74,38 +74,39 @@
 	return h
 }
 
-func valid(h *Held) bool { _, ok := h.Check(); return ok }
+func isValid(h *Held) bool { _, ok := h.Check(); return ok }
 
-// Guards against a lease that is lost without cause, and against a release that makes the successor wait.
+// Guards against a lease that is lost without a fault, and against a release after which the successor still waits for
+// the whole duration.
 func TestRenewAndRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, _ := node(tab, "a")
-		b, _ := node(tab, "b")
+		a, _ := newNode(tab, "a")
+		b, _ := newNode(tab, "b")
 		held := acquire(t, a)
 		short, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
 		_, err := b.Acquire(short, "plan")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Assert(t, valid(held))
+		assert.Assert(t, isValid(held))
 		assert.NilError(t, held.Release(t.Context()))
-		assert.Assert(t, !valid(held))
-		begun := time.Now()
+		assert.Assert(t, !isValid(held))
+		start := time.Now()
 		next := acquire(t, b)
-		assert.Assert(t, time.Since(begun) < DefaultMaxOrderTime+time.Second, "took %v", time.Since(begun))
+		assert.Assert(t, time.Since(start) < DefaultMaxOrderTime+time.Second, "took %v", time.Since(start))
 		first, _ := held.Check()
 		second, ok := next.Check()
 		assert.Assert(t, ok && second > first)
 	})
 }
 
-// Guards against a holder that wakes from a pause and believes in its lease, and against a successor that takes the
+// Guards against a holder that considers its lease valid after a pause, and against a successor that acquires the
 // lease while an order of the holder may still run.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, store := node(tab, "a")
-		b, _ := node(tab, "b")
+		a, store := newNode(tab, "a")
+		b, _ := newNode(tab, "b")
 		held := acquire(t, a)
 		acquired := time.Now()
 		store.pause(5 * time.Minute)
@@ -113,43 +114,44 @@
 		waited := time.Since(acquired)
 		assert.Assert(t, waited >= DefaultDuration+DefaultMaxOrderTime, "waited %v", waited)
 		time.Sleep(5 * time.Minute)
-		assert.Assert(t, !valid(held))
+		assert.Assert(t, !isValid(held))
 		<-held.Done()
-		assert.Assert(t, valid(next))
+		assert.Assert(t, isValid(next))
 	})
 }
 
-// Guards against a lease that is lost, or extended from too late a time, when only answers of writes are lost.
+// Guards against a lease that is lost, or extended from too late a time, when only the responses to writes are lost.
 func TestLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, store := node(tab, "a")
+		a, store := newNode(tab, "a")
 		store.SetFaults(table.Faults{LostPercent: 100})
 		held := acquire(t, a)
 		time.Sleep(5 * time.Minute)
-		assert.Assert(t, valid(held))
+		assert.Assert(t, isValid(held))
 		store.SetFaults(table.Faults{Outage: table.Refusing})
 		time.Sleep(DefaultDuration)
-		assert.Assert(t, !valid(held), "the lease outlives its renewals")
+		assert.Assert(t, !isValid(held), "the lease is still valid although its renewals failed for its whole duration")
 		<-held.Done()
 	})
 }
 
-// Guards against a suspended machine, whose monotonic clock stood still: the wall clock must end the lease.
+// Guards against a lease that stays valid on a machine whose monotonic clock stopped during a suspension: the wall
+// clock must end it.
 func TestSuspendedMachine(t *testing.T) {
 	now := time.Now()
-	s := span{start: now, duration: time.Second}
+	s := validity{start: now, duration: time.Second}
 	assert.Assert(t, s.contains(now))
 	assert.Assert(t, !s.contains(now.Round(0).Add(time.Minute)))
 }
 
-// leaseStep changes one node and lets time pass.
-type leaseStep struct {
+// scheduleStep sets the store faults of one node or pauses it, and then lets time pass.
+type scheduleStep struct {
 	node, fault int
-	passes      time.Duration
+	duration    time.Duration
 }
 
-var leaseFaults = []table.Faults{
+var storeFaults = []table.Faults{
 	{MaxLatency: 20 * time.Millisecond},
 	{MaxLatency: 20 * time.Millisecond, LostPercent: 40, StalePercent: 50, MaxStale: 8 * time.Second},
 	{LatePercent: 50, MaxLate: 30 * time.Second, StalePercent: 30, MaxStale: 5 * time.Second},
@@ -159,7 +161,7 @@
 	{Outage: table.Hanging},
 }
 
-// monitor knows all leases that were granted.
+// monitor records all leases that were granted and checks them against each other.
 type monitor struct {
 	mu      sync.Mutex
 	held    []*Held
@@ -171,11 +173,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, old := range m.held {
-		if valid(h) && valid(old) {
-			m.err = fmt.Errorf("%s and %s hold the lease", old.holder, h.holder)
+		if isValid(h) && isValid(old) {
+			m.err = fmt.Errorf("%s and %s hold the lease at once", old.holder, h.holder)
 		}
 	}
-	if valid(h) && h.fencing <= m.highest {
+	if isValid(h) && h.fencing <= m.highest {
 		m.err = fmt.Errorf("fencing number %d granted after %d", h.fencing, m.highest)
 	}
 	m.highest = max(m.highest, h.fencing)
@@ -187,12 +189,12 @@
 	defer m.mu.Unlock()
 	var holders []string
 	for _, h := range m.held[max(0, len(m.held)-8):] {
-		if valid(h) {
+		if isValid(h) {
 			holders = append(holders, h.holder)
 		}
 	}
 	if len(holders) > 1 {
-		return fmt.Errorf("several holders: %v", holders)
+		return fmt.Errorf("several holders at once: %v", holders)
 	}
 	return m.err
 }
@@ -206,22 +208,22 @@
 func (m *monitor) lastIsValid() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.held) > 0 && valid(m.held[len(m.held)-1])
+	return len(m.held) > 0 && isValid(m.held[len(m.held)-1])
 }
 
-func runLeases(seed uint64, steps []leaseStep) (grants int, err error) {
+func runSchedule(seed uint64, steps []scheduleStep) (grants int, err error) {
 	tab := table.New(table.Options{Seed: seed})
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &monitor{}
 	var stores []*pausedTable
 	var wg sync.WaitGroup
 	for i := range 3 {
-		l, store := node(tab, fmt.Sprintf("node-%d", i))
+		l, store := newNode(tab, fmt.Sprintf("node-%d", i))
 		l.o.Duration = 4 * time.Second
 		l.o.MaxOrderTime = time.Second
 		stores = append(stores, store)
 		wg.Go(func() {
-			// Nodes act at distinct times, so that the scheduler does not decide between them.
+			// Nodes act at distinct times, so that their order does not depend on the scheduler.
 			time.Sleep(time.Duration(i) * 1_000_003 * time.Nanosecond)
 			for n := 1; ; n++ {
 				h, err := l.Acquire(ctx, "plan")
@@ -242,12 +244,12 @@
 		})
 	}
 	for _, s := range steps {
-		if s.fault < len(leaseFaults) {
-			stores[s.node].SetFaults(leaseFaults[s.fault])
+		if s.fault < len(storeFaults) {
+			stores[s.node].SetFaults(storeFaults[s.fault])
 		} else {
 			stores[s.node].pause(40 * time.Second)
 		}
-		for end := time.Now().Add(s.passes); err == nil && time.Now().Before(end); err = m.check() {
+		for end := time.Now().Add(s.duration); err == nil && time.Now().Before(end); err = m.check() {
 			time.Sleep(250 * time.Millisecond)
 		}
 	}
@@ -259,7 +261,7 @@
 		time.Sleep(3 * time.Minute)
 		err = m.check()
 		if err == nil && m.count() == before && !m.lastIsValid() {
-			err = fmt.Errorf("nobody holds the lease after the faults")
+			err = fmt.Errorf("no node holds the lease after the faults ended")
 		}
 	}
 	cancel()
@@ -268,23 +270,23 @@
 	return m.count(), err
 }
 
-// Guards against any order of store faults and pauses that gives the lease to two holders at once, or a fencing
-// number that does not rise.
+// Guards against any order of store faults and pauses that gives the lease to two holders at once, or a fencing number
+// that does not increase.
 func TestRandomSchedules(t *testing.T) {
 	grants := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		var steps []leaseStep
+		var steps []scheduleStep
 		for range 20 {
-			steps = append(steps, leaseStep{
-				node:   rapid.IntRange(0, 2).Draw(rt, "node"),
-				fault:  rapid.IntRange(0, len(leaseFaults)).Draw(rt, "fault"),
-				passes: time.Duration(rapid.IntRange(1, 40).Draw(rt, "passes")) * time.Second,
+			steps = append(steps, scheduleStep{
+				node:     rapid.IntRange(0, 2).Draw(rt, "node"),
+				fault:    rapid.IntRange(0, len(storeFaults)).Draw(rt, "fault"),
+				duration: time.Duration(rapid.IntRange(1, 40).Draw(rt, "passes")) * time.Second,
 			})
 		}
 		var n int
 		var err error
-		synctest.Test(t, func(*testing.T) { n, err = runLeases(seed, steps) })
+		synctest.Test(t, func(*testing.T) { n, err = runSchedule(seed, steps) })
 		if err != nil {
 			rt.Fatalf("table seed %d: %v", seed, err)
 		}
@@ -292,6 +294,6 @@
 	})
 	t.Logf("%d grants", grants)
 	if !t.Failed() && grants < 500 {
-		t.Errorf("only %d grants", grants)
+		t.Errorf("only %d leases were granted, want at least 500", grants)
 	}
 }
