--- a/pkg/code/body.go
+++ b/pkg/code/body.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// refusal is what a caller sees of an Error; causes stay in the log.
-type refusal struct {
+// errorBody is the part of an Error that a caller sees. Causes are only logged.
+type errorBody struct {
 	Code         Code   `json:"code"`
 	Name         string `json:"name"`
 	Message      string `json:"message"`
@@ -11,10 +11,10 @@
 	RetryAfterMs int64  `json:"retry_after_ms"`
 }
 
-// Body returns the JSON body of a refusal.
+// Body returns the JSON body that a caller gets for e.
 func (e *Error) Body() []byte {
 	// The fields are numbers and strings, which always encode.
-	body, _ := json.Marshal(map[string]refusal{"error": {
+	body, _ := json.Marshal(map[string]errorBody{"error": {
 		Code:         e.Code,
 		Name:         e.Code.String(),
 		Message:      e.Message,
--- a/pkg/code/code.go
+++ b/pkg/code/code.go
@@ -1,8 +1,8 @@
 // Package code defines the numbered result codes of the system and the error type that carries them.
 //
-// Every refusal a caller sees has one code. The number is stable: clients and dashboards rely on it, so a code
-// is never reused. The thousands digit gives the class: 1 malformed requests, 2 credentials, 3 load and limits,
-// 4 calls that may not be repeated, 5 backend servers, 6 the system itself.
+// Every error response to a caller has one code. The number is stable: clients and dashboards rely on it, so a code is
+// never reused. The thousands digit gives the class: 1 malformed requests, 2 credentials, 3 load and limits,
+// 4 non-repeatable calls, 5 backend servers, 6 the system itself.
 package code
 
 import (
@@ -16,10 +16,10 @@
 // Code is a numbered result code. Zero means success.
 type Code uint32
 
-// Ran tells whether a refused request ran on a backend server.
+// Ran tells whether a failed request ran on a backend server.
 type Ran string
 
-// Values of Ran. RanNo is a promise: the request did not run and never will through this attempt.
+// Values of Ran. RanNo is a guarantee: the request did not run and never will through this attempt.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
@@ -68,11 +68,11 @@
 type Info struct {
 	Code   Code
 	Name   string
-	Status int // HTTP status
-	Help   string
+	Status int    // HTTP status
+	Help   string // one sentence for operators
 }
 
-// table is ordered by code; docs/result-codes.md is checked against it.
+// table is in ascending order of code. A test compares docs/result-codes.md with it.
 var table = []Info{
 	{OK, "ok", http.StatusOK, "The request succeeded."},
 	{MalformedRequest, "malformed_request", http.StatusBadRequest, "The body or a parameter cannot be parsed."},
@@ -121,7 +121,7 @@
 // All returns every code, in ascending order.
 func All() []Info { return append([]Info(nil), table...) }
 
-// Info returns the description of c; an unknown code gives that of Internal.
+// Info returns the description of c, or that of Internal if c is not a known code.
 func (c Code) Info() Info {
 	if info, ok := byCode[c]; ok {
 		return info
@@ -132,7 +132,7 @@
 // String returns the name of c.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a refusal or failure with its code.
+// Error is an error with a result code.
 type Error struct {
 	Code       Code
 	Ran        Ran
@@ -146,7 +146,7 @@
 	return &Error{Code: c, Ran: RanNo, Message: message}
 }
 
-// Wrap returns an Error with a cause. The cause is logged and never shown to callers.
+// Wrap returns an Error with a cause. The cause is logged but never sent to callers.
 func Wrap(c Code, ran Ran, message string, cause error) *Error {
 	return &Error{Code: c, Ran: ran, Message: message, cause: merry.Wrap(cause)}
 }
@@ -180,7 +180,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns err as an *Error; any other error becomes Internal with an unknown Ran.
+// From returns the first *Error in the chain of err. An error without one becomes Internal with RanUnknown.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/pkg/code/code_test.go
+++ b/pkg/code/code_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a code that is declared twice or whose place in the table breaks the documented order.
+// Guards against a code that is declared twice or is out of order in the table.
 func TestTableIsOrderedAndUnique(t *testing.T) {
 	names := map[string]bool{}
 	for i, info := range All() {
@@ -17,7 +17,7 @@
 	}
 }
 
-// Guards against internal details in an error that reaches a caller.
+// Guards against internal details in an error that is sent to a caller.
 func TestFromHidesTheCause(t *testing.T) {
 	e := From(errors.New("password in a log line"))
 	assert.Equal(t, e.Code, Internal)
--- a/pkg/code/doc_test.go
+++ b/pkg/code/doc_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-const page = "../../docs/result-codes.md"
+const docPage = "../../docs/result-codes.md"
 
-var updatePage = flag.Bool("update-page", false, "write docs/result-codes.md")
+var updateDocPage = flag.Bool("update-page", false, "write docs/result-codes.md")
 
-// Guards against a code that the operators' page does not have, or has with another meaning.
+// Guards against a code that is missing in docs/result-codes.md or has another description there.
 func TestPageListsEveryCode(t *testing.T) {
 	var want strings.Builder
 	want.WriteString("# Result codes\n\nEach refusal carries one of these codes, in the body and in `X-Pollenlug-Code`. " +
@@ -25,10 +25,10 @@
 	}
 	want.WriteString("\n`ran` is `no` when the request did not run and never will through this attempt, `yes` when it ran, and " +
 		"`unknown`\nwhen neither is certain. `retry_after_ms` is 0 when a retry does not help.\n")
-	if *updatePage {
-		assert.NilError(t, os.WriteFile(page, []byte(want.String()), 0o644))
+	if *updateDocPage {
+		assert.NilError(t, os.WriteFile(docPage, []byte(want.String()), 0o644))
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(docPage)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), want.String())
 }
