--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,20 +1,23 @@
-// Package fleet plans how many backend servers run, where and of which kind, and which models they hold.
+// Package fleet plans how many backend servers run, in which failure domains and of which instance class, and which
+// models they load.
 //
 // # Design
 //
-// Plan is a pure function: its result depends on its input alone, so that a successor which sees the same state makes
-// the same decision. What must outlast a step, the demand of the last minutes, is in Memory, which the caller keeps.
+// Plan is a pure function: its result depends only on its input, so a successor that sees the same state makes the same
+// decision. The state that must survive from step to step, the demand of the last minutes, is in Memory, which the
+// caller keeps.
 //
-// A group needs capacity for its demand after the loss of the policy's number of failure domains. Capacity in a domain
-// above the level of the others is lost with that domain, so the plan raises a set of domains to one level. It tries
-// each set and takes the cheapest; the price of a domain is that of its cheapest class and kind that was not refused
-// lately. The price of a reclaimable instance includes its expected loss.
+// A group needs enough capacity for its demand after the loss of the number of failure domains that the policy sets.
+// Capacity in a domain beyond that of the others is lost with that domain, so the plan raises the capacity of a set of
+// domains to one level. It evaluates each set and uses the cheapest. The price of a domain is that of its cheapest cell
+// that was not refused recently. The price of a reclaimable instance includes the expected cost of its reclaims.
 //
-// Several utilizations keep noise from changing the fleet: starts begin when the demand exceeds startUtilization of the
-// capacity and fill up to targetUtilization; a drain needs the peak of holdTime to fit within drainUtilization of what
-// remains. A server of the wrong kind is replaced when the peak fits within swapUtilization of the rest and its
-// replacement; since this lies between the first two, a swap neither causes a start nor keeps the next swap away. A
-// server is never drained while another of its group starts.
+// Separate utilization thresholds keep noise from changing the fleet. Starts begin when the demand exceeds
+// startUtilization of the capacity and continue until it is within targetUtilization; a drain requires that the peak of
+// holdTime fits within drainUtilization of the remaining capacity. A server of the wrong kind (reclaimable or on demand)
+// is replaced when the peak fits within replaceUtilization of the other servers and the replacement. Since this
+// threshold lies between the first two, a replacement neither causes a start nor prevents the next replacement. A server
+// is never drained while another of its group is starting.
 package fleet
 
 import (
@@ -24,32 +27,34 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Utilization of the capacity at the latency target, see the package comment.
+// Thresholds of utilization, as fractions of the capacity at the latency target; see the package comment.
 const (
-	startUtilization  = 0.85
-	swapUtilization   = 0.80
-	targetUtilization = 0.75
-	drainUtilization  = 0.65
+	startUtilization   = 0.85
+	replaceUtilization = 0.80
+	targetUtilization  = 0.75
+	drainUtilization   = 0.65
 )
 
 const (
-	// holdTime is how long the demand must stay low before a drain; it covers the usual valleys between two peaks.
+	// holdTime is how long the demand must stay low before a drain. It is longer than the usual lows between two peaks.
 	holdTime = 15 * time.Minute
-	// swapGain is how much cheaper a replacement must be, so that changes of the price do not move servers.
-	swapGain = 1.2
-	// refusalBackoff is the wait after the first refusal; it doubles with each further one up to maxRefusalBackoff.
+	// replaceGain is the factor by which a replacement must be cheaper, so that price changes do not cause replacements.
+	replaceGain = 1.2
+	// refusalBackoff is the wait after the first refusal. It doubles with each further one, up to maxRefusalBackoff.
 	refusalBackoff    = time.Minute
 	maxRefusalBackoff = 16 * time.Minute
-	// defaultMaxStarts bounds the starts of one step: a failure domain of the target size is replaced in four steps.
+	// defaultMaxStarts bounds the starts of one step, so that a failure domain of the target size is replaced in four
+	// steps.
 	defaultMaxStarts = 32
 	// defaultMaxOrders bounds the orders of one step.
 	defaultMaxOrders = 64
-	// drainShare is the part of a group that may drain at a time, and at least one server.
+	// drainShare bounds the servers of a group that may drain at a time to one in drainShare, and at least one.
 	drainShare = 20
-	// priorReclaims and priorHours are the reclaim rate before anything was observed: one in 24 hours.
+	// priorReclaims and priorHours are the prior of the reclaim rate, which applies before anything was observed: one
+	// reclaim in 24 instance hours.
 	priorReclaims = 1.0
 	priorHours    = 24.0
-	// modelHeadroom is the share of servers a model gets beyond its share of the demand.
+	// modelHeadroom is the ratio of a model's share of the servers to its share of the demand.
 	modelHeadroom = 1.25
 )
 
@@ -58,16 +63,17 @@
 	Name, Version string
 	Adapters      []string
 	WeightsMiB    uint32
-	// MinPerDomain is the fewest servers that hold the model in each failure domain with servers of the group.
+	// MinPerDomain is the minimum number of servers with the model in each failure domain with servers of the group.
 	MinPerDomain int
 }
 
 // Class is an instance class that a group may use.
 type Class struct {
 	Name string
-	// TokensPerSecond is what one server generates within the latency target; 0 means unknown.
+	// TokensPerSecond is the rate at which one server generates tokens within the latency target; 0 means unknown.
 	TokensPerSecond float64
-	// ReclaimableMicros and OnDemandMicros are prices per hour for when the cloud's prices are unknown.
+	// ReclaimableMicros and OnDemandMicros are the prices per hour, in millionths of the currency unit, that apply while
+	// the cloud's prices are unknown.
 	ReclaimableMicros, OnDemandMicros uint64
 }
 
@@ -77,65 +83,68 @@
 	Kind    platform.InstanceKind
 	Classes []Class
 	Models  []Model
-	// ChecksFencing means that the servers refuse late orders. Only they get orders to unload, which could harm late.
+	// ChecksFencing means that the servers check fencing numbers and so refuse late orders. Only such servers get orders
+	// to unload a model, since a late one could do harm.
 	ChecksFencing bool
-	// Concurrency is how many requests a server runs at a time; 0 means unknown.
+	// Concurrency is the number of requests that a server runs at a time; 0 means unknown.
 	Concurrency uint32
-	// MinServers and MaxServers bound the servers; 0 for MaxServers means no limit.
+	// MinServers and MaxServers bound the number of servers; 0 for MaxServers means no limit.
 	MinServers, MaxServers int
 }
 
-// Policy has the settings that concern the fleet.
+// Policy holds the policy settings that concern the fleet.
 type Policy struct {
 	SpareFailureDomains   int
 	MaxReclaimablePercent int
-	// RecomputeWeight is the weight of recomputed tokens against cost, 0 to 100.
+	// RecomputeWeight is the weight of recomputed tokens relative to the cost of instances, from 0 to 100.
 	RecomputeWeight int
-	BetweenTokens   time.Duration
+	// BetweenTokens is the latency target for the time between two tokens.
+	BetweenTokens time.Duration
 }
 
-// Server is an instance that runs or starts.
+// Server is an instance that is starting, running or leaving.
 type Server struct {
 	ID, Group, Class, Domain string
 	Reclaimable              bool
 	State                    platform.InstanceState
 	PriceMicros              uint64
-	// Running counts the requests on the server.
+	// Running is the number of requests that run on the server.
 	Running uint32
-	// Known means that the server has reported what it has loaded.
+	// Known means that the server has reported its loaded models and adapters.
 	Known bool
 	// Models maps each loaded model to its version.
 	Models map[string]string
-	// Adapters has the loaded adapters as "model:adapter".
+	// Adapters lists the loaded adapters as "model:adapter".
 	Adapters []string
-	// Ordered has the orders that were given but are not in the report yet: versions by model, "yes" by "model:adapter" and
-	// the role by "role".
+	// Ordered holds the orders that were sent but are not in the server's report yet: the version under the model's name,
+	// "yes" under "model:adapter" and the role under "role".
 	Ordered map[string]string
-	// Draining means that the fleet itself drains the server.
+	// Draining means that a plan of this package drains the server.
 	Draining bool
 }
 
 // Domain is a failure domain in which instances can run.
 type Domain struct{ Name, Region string }
 
-// Demand is what callers ask for.
+// Demand is the load that callers request.
 type Demand struct{ TokensPerSecond, RequestsPerSecond float64 }
 
-// Cell names what a start asks for and what a refusal concerns.
+// Cell is a combination of instance class, failure domain and kind (reclaimable or on demand). Starts request an
+// instance of a cell, and refusals are recorded per cell.
 type Cell struct {
 	Class       string `json:"instance_class"`
 	Domain      string `json:"failure_domain"`
 	Reclaimable bool   `json:"reclaimable"`
 }
 
-// Refusal is the state of a cell whose start was refused.
+// Refusal records the refused starts of a cell.
 type Refusal struct {
-	// Count is the number of refusals in a row.
+	// Count is the number of consecutive refusals, Last the time of the last one.
 	Count int
 	Last  time.Time
 }
 
-// RetryAt is when the cell may be asked again.
+// RetryAt returns the time from which another start in the cell may be requested.
 func (r Refusal) RetryAt() time.Time {
 	wait := refusalBackoff
 	for i := 1; i < r.Count && wait < maxRefusalBackoff; i++ {
@@ -144,15 +153,15 @@
 	return r.Last.Add(min(wait, maxRefusalBackoff))
 }
 
-// ReclaimHistory is what was observed of the reclaimable instances of a class in a failure domain.
+// ReclaimHistory is the observed history of the reclaimable instances of a class in a failure domain.
 type ReclaimHistory struct {
 	Reclaims, InstanceHours float64
 }
 
-// PlaceKey names a class in a failure domain.
+// PlaceKey identifies an instance class in a failure domain.
 type PlaceKey struct{ Class, Domain string }
 
-// Input is everything a plan depends on.
+// Input is everything that a plan depends on.
 type Input struct {
 	Now     time.Time
 	Policy  Policy
@@ -161,21 +170,22 @@
 	Servers []Server
 	// Demand is the demand per model, with the forecast of Memory.Observe applied.
 	Demand map[string]Demand
-	// Reclaims has the history per class and domain, Refusals the refused cells.
+	// Reclaims holds the history per class and domain, Refusals the refused cells.
 	Reclaims map[PlaceKey]ReclaimHistory
 	Refusals map[Cell]Refusal
-	// Prices are the current prices; a cell without one cannot be started. Empty means that they are unknown.
+	// Prices are the current prices. No instance is started in a cell without a price. If empty, the prices are unknown
+	// and those of Class apply.
 	Prices []platform.Price
 	// StartTime is how long a server takes to start, LoadRate the rate of the weight store in MiB/s; 0 means unknown.
 	StartTime time.Duration
 	LoadRate  float64
-	// Memory is the state of the last step; it is not changed.
+	// Memory is the state after the last step. Plan does not change it.
 	Memory *Memory
-	// MaxStarts and MaxOrders bound a step; 0 means the defaults.
+	// MaxStarts and MaxOrders bound the starts and orders of a step; 0 means the defaults.
 	MaxStarts, MaxOrders int
 }
 
-// Start asks for one more instance.
+// Start is a request for one more instance.
 type Start struct {
 	Group  string
 	Kind   platform.InstanceKind
@@ -184,21 +194,21 @@
 	Reason string
 }
 
-// Drain asks to take a server out of service and then to stop it.
+// Drain is a request to take a server out of service and then to stop it.
 type Drain struct {
 	Server, Reason string
 }
 
-// Order asks a server for a state.
+// Order is an order to a server: to load or unload a model, load an adapter or take a role.
 type Order struct {
 	Server string
 	backend.Order
-	// WeightsMiB is what the order loads from the weight store.
+	// WeightsMiB is the amount of data that the order loads from the weight store.
 	WeightsMiB uint32
 	Reason     string
 }
 
-// Count is how many instances of a group should run in a cell.
+// Count is the number of instances of a group that should run in a cell.
 type Count struct {
 	Group string `json:"backend_group"`
 	Cell
@@ -207,13 +217,13 @@
 
 // Result is the plan of one step.
 type Result struct {
-	// Target has the counts after the starts and drains.
+	// Target holds the counts after the starts and drains.
 	Target []Count
 	Starts []Start
 	Drains []Drain
-	// Orders are sorted by need, most needed first.
+	// Orders are sorted by priority, most urgent first.
 	Orders []Order
-	// Short tells for each group that cannot get its capacity now why not.
+	// Short maps each group that cannot get the capacity it needs to the reason.
 	Short  map[string]string
 	Memory *Memory
 }
--- a/pkg/fleet/level.go
+++ b/pkg/fleet/level.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxSetDomains bounds the search over sets of domains; with more, only the sets of the cheapest are tried.
+	// maxSetDomains bounds the exhaustive search over sets of domains. With more domains, only the sets of the n cheapest
+	// domains are tried, for each n.
 	maxSetDomains = 8
-	// levelSteps halve the interval of a level to less than a millionth.
+	// levelSteps is the number of bisection steps, which narrow the interval of a level to less than a millionth.
 	levelSteps = 24
 )
 
-// raise starts servers until the capacity after the loss of the spare domains reaches the need. When that is out of
-// reach because too few domains accept starts, it provides for the loss of fewer.
-func (s *sizing) raise(need float64) {
-	for spare := min(s.p.in.Policy.SpareFailureDomains, max(0, len(s.caps)-1)); spare >= 0; spare-- {
+// grow starts servers until the capacity after the loss of the spare domains reaches need. When too few domains accept
+// starts for that, it provides for the loss of fewer domains.
+func (s *groupPlan) grow(need float64) {
+	for spare := min(s.p.in.Policy.SpareFailureDomains, max(0, len(s.capacities)-1)); spare >= 0; spare-- {
 		done := false
 		for {
 			if s.surviving(spare) >= need {
 				done = true
 				break
 			}
-			if !s.room() {
+			if !s.canStart() {
 				return
 			}
-			c, ok := s.next(need, spare)
+			c, ok := s.nextStart(need, spare)
 			if !ok {
 				break
 			}
@@ -38,62 +39,63 @@
 	}
 }
 
-// next returns the candidate that is started first on the cheapest way to the need.
-func (s *sizing) next(need float64, spare int) (candidate, bool) {
-	units := make([]float64, len(s.caps))
-	for i := range units {
-		units[i] = math.Inf(1)
-		for _, c := range s.usable(i) {
-			units[i] = min(units[i], c.unit())
+// nextStart returns the candidate to start first in the cheapest plan that reaches need.
+func (s *groupPlan) nextStart(need float64, spare int) (candidate, bool) {
+	unitPrices := make([]float64, len(s.capacities))
+	for i := range unitPrices {
+		unitPrices[i] = math.Inf(1)
+		for _, c := range s.allowedCandidates(i) {
+			unitPrices[i] = min(unitPrices[i], c.unitPrice())
 		}
 	}
 	bestCost, bestLevel, bestSet := math.Inf(1), 0.0, uint(0)
-	for _, set := range sets(units) {
-		level, ok := level(s.caps, set, need, spare)
+	for _, set := range domainSets(unitPrices) {
+		level, ok := requiredLevel(s.capacities, set, need, spare)
 		if !ok {
 			continue
 		}
 		cost := 0.0
-		for i, c := range s.caps {
+		for i, c := range s.capacities {
 			if set&(1<<i) != 0 {
-				cost += max(0, level-c) * units[i]
+				cost += max(0, level-c) * unitPrices[i]
 			}
 		}
 		if cost < bestCost {
 			bestCost, bestLevel, bestSet = cost, level, set
 		}
 	}
-	return s.lowest(bestSet, bestLevel, units)
+	return s.lowestDomain(bestSet, bestLevel, unitPrices)
 }
 
-// lowest returns the candidate for the domain of the set that is furthest below the level.
-func (s *sizing) lowest(set uint, level float64, units []float64) (candidate, bool) {
+// lowestDomain returns the candidate to start in the domain of the set with the least capacity below level.
+func (s *groupPlan) lowestDomain(set uint, level float64, unitPrices []float64) (candidate, bool) {
 	best := -1
-	for i, c := range s.caps {
+	for i, c := range s.capacities {
 		if set&(1<<i) == 0 || c >= level {
 			continue
 		}
-		if best < 0 || c < s.caps[best] || c == s.caps[best] && units[i] < units[best] {
+		if best < 0 || c < s.capacities[best] || c == s.capacities[best] && unitPrices[i] < unitPrices[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return candidate{}, false
 	}
-	return s.cheapest(best, level-s.caps[best])
+	return s.cheapest(best, level-s.capacities[best])
 }
 
-// sets returns the sets of domains to try, as bits: all sets of the domains that accept starts.
-func sets(units []float64) []uint {
+// domainSets returns the sets of domains to try, as bit sets: all non-empty sets of the domains that accept starts, or
+// those of cheapestSets when there are more than maxSetDomains.
+func domainSets(unitPrices []float64) []uint {
 	var open []int
-	for i, unit := range units {
+	for i, unit := range unitPrices {
 		if !math.IsInf(unit, 1) {
 			open = append(open, i)
 		}
 	}
 	var out []uint
 	if len(open) > maxSetDomains {
-		return cheapestSets(open, units)
+		return cheapestSets(open, unitPrices)
 	}
 	for choice := 1; choice < 1<<len(open); choice++ {
 		set := uint(0)
@@ -107,14 +109,14 @@
 	return out
 }
 
-// cheapestSets returns the sets of the n cheapest domains for each n.
-func cheapestSets(open []int, units []float64) []uint {
+// cheapestSets returns, for each n, the set of the n cheapest domains.
+func cheapestSets(open []int, unitPrices []float64) []uint {
 	var out []uint
 	set := uint(0)
 	for range open {
 		best := -1
 		for _, i := range open {
-			if set&(1<<i) == 0 && (best < 0 || units[i] < units[best]) {
+			if set&(1<<i) == 0 && (best < 0 || unitPrices[i] < unitPrices[best]) {
 				best = i
 			}
 		}
@@ -124,11 +126,12 @@
 	return out
 }
 
-// level returns the lowest capacity to which the domains of the set must rise so that enough survives.
-func level(caps []float64, set uint, need float64, spare int) (float64, bool) {
-	raised := make([]float64, len(caps))
+// requiredLevel returns the lowest capacity to which the domains of the set must be raised so that at least need
+// survives the loss of the spare domains. It returns false when that is impossible.
+func requiredLevel(capacities []float64, set uint, need float64, spare int) (float64, bool) {
+	raised := make([]float64, len(capacities))
 	at := func(level float64) float64 {
-		for i, c := range caps {
+		for i, c := range capacities {
 			raised[i] = c
 			if set&(1<<i) != 0 {
 				raised[i] = max(c, level)
--- a/pkg/fleet/memory.go
+++ b/pkg/fleet/memory.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// sampleTime is the length of one sample; sampleCount samples make the history of the forecast.
+	// sampleTime is the length of one sample, sampleCount the number of samples that a forecast uses: 3 minutes.
 	sampleTime  = 10 * time.Second
 	sampleCount = 18
-	// recentCount samples make the level of the forecast: 1 minute.
+	// recentCount is the number of latest samples whose mean is the base of the forecast: 1 minute.
 	recentCount = 6
-	// forecastAhead is about the time from a decision to a server that has its model loaded.
+	// forecastAhead is approximately the time from the decision to start a server until it has loaded its model.
 	forecastAhead = 2 * time.Minute
-	// trendErrors is how many standard errors are taken off a trend, so that noise is not extrapolated.
+	// trendErrors is the number of standard errors subtracted from a trend, so that noise is not extrapolated.
 	trendErrors = 3
-	peakBucket  = time.Minute
+	// peakBucket is the resolution of the recorded peaks.
+	peakBucket = time.Minute
 )
 
-// Memory is what a plan keeps from step to step. The zero value is that of a new holder, which drains nothing before
-// it has observed the demand for the hold time.
+// Memory is the state of the planner between steps. The zero value is that of a new planner, which drains no server
+// for lack of demand before it has observed the demand for holdTime.
 type Memory struct {
-	// peaks has the highest need per group in each minute.
+	// peaks holds the highest needed capacity of each minute, by group.
 	peaks map[string]*peaks
 }
 
@@ -31,8 +32,8 @@
 	buckets map[int64]float64
 }
 
-// observe adds the need of a group and returns the peak of the hold time; known is false before the hold
-// time has passed.
+// observe records the needed capacity of a group and returns its peak within holdTime. known is false until the group
+// has been observed for holdTime.
 func (m *Memory) observe(now time.Time, group string, need float64) (peak float64, known bool) {
 	p := m.peaks[group]
 	if p == nil {
@@ -60,16 +61,16 @@
 	return out
 }
 
-// History has the demand of the last minutes and forecasts it. It is not safe for concurrent use.
+// History records the demand of the last minutes and forecasts the demand from it. It is not safe for concurrent use.
 type History struct {
-	started time.Time
-	// samples has the mean demand of each sample time, oldest first.
+	started time.Time // of the sample in progress, as are sum and count
+	// samples holds the mean demand of each finished sample, oldest first.
 	samples []map[string]Demand
 	sum     map[string]Demand
 	count   float64
 }
 
-// Add takes the demand per model as it is now; call it about once a second.
+// Add records the current demand per model. It should be called about once per second.
 func (h *History) Add(now time.Time, demand map[string]Demand) {
 	if h.sum == nil {
 		h.started, h.sum = now, map[string]Demand{}
@@ -94,8 +95,8 @@
 	return out
 }
 
-// Forecast returns the expected demand per model after the time that a start takes. Only a rising trend counts, and
-// only one that stands out from the noise.
+// Forecast returns the expected demand per model after forecastAhead. It extrapolates only a rising trend, and only the
+// part of it that is statistically significant.
 func (h *History) Forecast() map[string]Demand {
 	models := map[string]bool{}
 	for _, s := range h.samples {
@@ -113,7 +114,7 @@
 	return out
 }
 
-// expect extrapolates one figure by a straight line through the samples.
+// expect extrapolates one value by linear regression over the samples.
 func (h *History) expect(value func(map[string]Demand) float64) float64 {
 	n := len(h.samples)
 	recent := h.samples[max(0, n-recentCount):]
--- a/pkg/fleet/place.go
+++ b/pkg/fleet/place.go
@@ -10,48 +10,48 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// RoleStandby is the role of an engine that takes no new request.
+// RoleStandby is the role of an engine that takes no new requests.
 const RoleStandby = "standby"
 
-// Needs of orders, most needed first.
+// Priorities of orders, most urgent first.
 const (
-	needDrain      = iota // a draining server must refuse what nodes send that have not heard of it
-	needFirst             // no server of the group holds the model
-	needFirstLocal        // no server of the failure domain holds it
-	needAdapter
-	needMinimum // fewer than min_servers_per_domain hold it
-	needEmpty   // the server holds no model
-	needShare   // the model has fewer servers than its share of the demand
-	needVersion
-	needUnload
+	priorityDrain         = iota // a draining server must refuse requests from nodes that do not know of the drain yet
+	priorityFirst                // no server of the group holds the model
+	priorityFirstInDomain        // no server of the failure domain holds the model
+	priorityAdapter
+	priorityMinimum     // fewer than min_servers_per_domain servers hold the model
+	priorityEmptyServer // the server holds no model
+	priorityShare       // the model has fewer servers than its share of the demand requires
+	priorityVersion
+	priorityUnload
 )
 
-// ranked is an order with its need.
-type ranked struct {
+// rankedOrder is an order with its priority and the demand of its model, which decides between equal priorities.
+type rankedOrder struct {
 	Order
-	need   int
-	demand float64
+	priority int
+	demand   float64
 }
 
-// placing is the placement of one group.
-type placing struct {
+// placement is the placement of the models of one group on its servers.
+type placement struct {
 	p       *planner
 	g       *Group
 	servers []*Server // live, not leaving, with a report
-	orders  []*ranked
-	// holds counts the models that a server has or is about to have.
-	holds map[*Server]map[string]bool
-	total float64 // demand
-	// updating has the models and failure domains in which a server loads the model.
+	orders  []*rankedOrder
+	// models holds, by server, the models that are loaded or ordered.
+	models map[*Server]map[string]bool
+	total  float64 // demand
+	// updating holds the pairs of model and failure domain in which a server has an order to load the model.
 	updating map[[2]string]bool
 }
 
-// place plans the orders to the engines of a group.
-func (p *planner) place(g *Group, servers []*Server) {
+// planOrders plans the orders to the engines of a group.
+func (p *planner) planOrders(g *Group, servers []*Server) {
 	if g.Kind != platform.ModelEngine {
 		return
 	}
-	pl := &placing{p: p, g: g, holds: map[*Server]map[string]bool{}, updating: map[[2]string]bool{}}
+	pl := &placement{p: p, g: g, models: map[*Server]map[string]bool{}, updating: map[[2]string]bool{}}
 	drained := map[string]bool{}
 	for _, d := range p.out.Drains {
 		drained[d.Server] = true
@@ -60,10 +60,10 @@
 		switch {
 		case s.Draining && s.Ordered[roleKey] != RoleStandby:
 			order := backend.Order{Kind: backend.SetRole, Role: RoleStandby}
-			pl.add(s, order, 0, needDrain, 0, "the server drains")
+			pl.add(s, order, 0, priorityDrain, 0, "the server drains")
 		case s.State == platform.Live && s.Known && !drained[s.ID]:
 			pl.servers = append(pl.servers, s)
-			pl.holds[s] = held(s)
+			pl.models[s] = modelsOn(s)
 			for name := range s.Ordered {
 				pl.updating[[2]string{name, s.Domain}] = true
 			}
@@ -72,17 +72,17 @@
 	for _, m := range g.Models {
 		pl.total += p.in.Demand[m.Name].TokensPerSecond
 	}
-	pl.domains()
+	pl.placeModels()
 	for _, s := range pl.servers {
-		pl.refresh(s)
+		pl.updateServer(s)
 	}
 	p.ranked = append(p.ranked, pl.orders...)
 }
 
-// roleKey is the key of a role in Server.Ordered.
+// roleKey is the key of the role in Server.Ordered.
 const roleKey = "role"
 
-func held(s *Server) map[string]bool {
+func modelsOn(s *Server) map[string]bool {
 	out := map[string]bool{}
 	for name := range s.Models {
 		out[name] = true
@@ -95,19 +95,19 @@
 	return out
 }
 
-func (pl *placing) add(s *Server, o backend.Order, mib uint32, need int, demand float64, reason string) {
-	pl.orders = append(pl.orders, &ranked{Order{s.ID, o, mib, reason}, need, demand})
+func (pl *placement) add(s *Server, o backend.Order, mib uint32, priority int, demand float64, reason string) {
+	pl.orders = append(pl.orders, &rankedOrder{Order{s.ID, o, mib, reason}, priority, demand})
 }
 
-// domains gives each failure domain its servers of each model.
-func (pl *placing) domains() {
+// placeModels loads each model on the required number of servers in each failure domain.
+func (pl *placement) placeModels() {
 	byDomain := make([][]*Server, len(pl.p.domains))
 	anywhere := map[string]bool{}
 	for _, s := range pl.servers {
-		if i, ok := pl.p.position[s.Domain]; ok {
+		if i, ok := pl.p.domainIndex[s.Domain]; ok {
 			byDomain[i] = append(byDomain[i], s)
 		}
-		for name := range pl.holds[s] {
+		for name := range pl.models[s] {
 			anywhere[name] = true
 		}
 	}
@@ -115,64 +115,65 @@
 	slices.SortStableFunc(models, func(a, b Model) int { return cmp.Compare(pl.share(b), pl.share(a)) })
 	for _, servers := range byDomain {
 		for _, m := range models {
-			pl.spread(servers, m, anywhere)
+			pl.spreadModel(servers, m, anywhere)
 		}
 		for _, s := range servers {
-			if len(pl.holds[s]) == 0 && len(models) > 0 {
-				pl.load(s, models[0], needEmpty, "the server holds no model")
+			if len(pl.models[s]) == 0 && len(models) > 0 {
+				pl.load(s, models[0], priorityEmptyServer, "the server holds no model")
 			}
 		}
 	}
 }
 
-// share is the part of the group's demand that a model has.
-func (pl *placing) share(m Model) float64 {
+// share returns a model's fraction of the group's demand, or an equal fraction per model when the group has no demand.
+func (pl *placement) share(m Model) float64 {
 	if pl.total <= 0 {
 		return 1 / float64(len(pl.g.Models))
 	}
 	return pl.p.in.Demand[m.Name].TokensPerSecond / pl.total
 }
 
-// spread loads a model on servers of one failure domain until it has its number, those with the fewest models first.
-func (pl *placing) spread(servers []*Server, m Model, anywhere map[string]bool) {
+// spreadModel loads a model on servers of one failure domain until enough of them hold it. Servers with the fewest
+// models are used first.
+func (pl *placement) spreadModel(servers []*Server, m Model, anywhere map[string]bool) {
 	n := float64(len(servers))
 	target := min(len(servers), max(1, m.MinPerDomain, int(math.Ceil(modelHeadroom*pl.share(m)*n))))
 	have := 0
 	var free []*Server
 	for _, s := range servers {
-		if pl.holds[s][m.Name] {
+		if pl.models[s][m.Name] {
 			have++
 		} else {
 			free = append(free, s)
 		}
 	}
 	slices.SortStableFunc(free, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(len(pl.holds[a]), len(pl.holds[b])), cmp.Compare(a.Running, b.Running))
+		return cmp.Or(cmp.Compare(len(pl.models[a]), len(pl.models[b])), cmp.Compare(a.Running, b.Running))
 	})
 	for _, s := range free[:max(0, min(len(free), target-have))] {
-		need := needShare
+		priority := priorityShare
 		switch {
 		case !anywhere[m.Name]:
-			need = needFirst
+			priority = priorityFirst
 		case have == 0:
-			need = needFirstLocal
+			priority = priorityFirstInDomain
 		case have < m.MinPerDomain:
-			need = needMinimum
+			priority = priorityMinimum
 		}
-		pl.load(s, m, need, fmt.Sprintf("%d of %d servers in %s hold the model", have, target, s.Domain))
+		pl.load(s, m, priority, fmt.Sprintf("%d of %d servers in %s hold the model", have, target, s.Domain))
 		anywhere[m.Name] = true
 		have++
 	}
 }
 
-func (pl *placing) load(s *Server, m Model, need int, reason string) {
+func (pl *placement) load(s *Server, m Model, priority int, reason string) {
 	order := backend.Order{Kind: backend.LoadModel, Model: m.Name, Version: m.Version}
-	pl.add(s, order, m.WeightsMiB, need, pl.p.in.Demand[m.Name].TokensPerSecond, reason)
-	pl.holds[s][m.Name] = true
+	pl.add(s, order, m.WeightsMiB, priority, pl.p.in.Demand[m.Name].TokensPerSecond, reason)
+	pl.models[s][m.Name] = true
 }
 
-// refresh orders the adapters, versions and unloads of a server.
-func (pl *placing) refresh(s *Server) {
+// updateServer adds the orders for missing adapters, outdated versions and models to unload on a server.
+func (pl *placement) updateServer(s *Server) {
 	configured := map[string]bool{}
 	for _, m := range pl.g.Models {
 		configured[m.Name] = true
@@ -184,23 +185,24 @@
 		for _, a := range m.Adapters {
 			key := m.Name + ":" + a
 			if !slices.Contains(s.Adapters, key) && s.Ordered[key] == "" {
-				pl.add(s, backend.Order{Kind: backend.LoadAdapter, Model: m.Name, Adapter: a}, 0, needAdapter, demand, "the adapter is not loaded")
+				pl.add(s, backend.Order{Kind: backend.LoadAdapter, Model: m.Name, Adapter: a}, 0, priorityAdapter, demand, "the adapter is not loaded")
 			}
 		}
 		if version != m.Version && s.Ordered[m.Name] != m.Version && pl.mayUpdate(s, m) {
 			order := backend.Order{Kind: backend.LoadModel, Model: m.Name, Version: m.Version}
-			pl.add(s, order, m.WeightsMiB, needVersion, demand, fmt.Sprintf("the server holds version %q", version))
+			pl.add(s, order, m.WeightsMiB, priorityVersion, demand, fmt.Sprintf("the server holds version %q", version))
 		}
 	}
 	for name, version := range s.Models {
 		if !configured[name] && pl.g.ChecksFencing {
-			pl.add(s, backend.Order{Kind: backend.Unload, Model: name, Version: version}, 0, needUnload, 0, "the model is no longer configured")
+			pl.add(s, backend.Order{Kind: backend.Unload, Model: name, Version: version}, 0, priorityUnload, 0, "the model is no longer configured")
 		}
 	}
 }
 
-// mayUpdate allows the new version on one server per failure domain at a time, as an update may pause the model.
-func (pl *placing) mayUpdate(s *Server, m Model) bool {
+// mayUpdate allows the update of a model on one server per failure domain at a time, since an update may interrupt the
+// model.
+func (pl *placement) mayUpdate(s *Server, m Model) bool {
 	place := [2]string{m.Name, s.Domain}
 	if pl.updating[place] {
 		return false
@@ -209,10 +211,10 @@
 	return true
 }
 
-// finishOrders sorts the orders of all groups by need and keeps what fits into a step.
+// finishOrders sorts the orders of all groups by priority and keeps those that fit into a step.
 func (p *planner) finishOrders() {
-	slices.SortStableFunc(p.ranked, func(a, b *ranked) int {
-		return cmp.Or(cmp.Compare(a.need, b.need), cmp.Compare(b.demand, a.demand),
+	slices.SortStableFunc(p.ranked, func(a, b *rankedOrder) int {
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(b.demand, a.demand),
 			cmp.Compare(a.Server, b.Server), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 	})
 	for _, r := range p.ranked[:min(len(p.ranked), cmp.Or(p.in.MaxOrders, defaultMaxOrders))] {
--- a/pkg/fleet/plan_test.go
+++ b/pkg/fleet/plan_test.go
@@ -19,8 +19,8 @@
 	startDelay = time.Minute
 )
 
-// sim applies plans to a fleet in memory.
-type sim struct {
+// simulation applies plans to a simulated fleet.
+type simulation struct {
 	t       testing.TB
 	in      Input
 	history History
@@ -33,8 +33,8 @@
 	asked   map[Cell][]time.Time
 }
 
-func newSim(t testing.TB, domains int, tokens float64) *sim {
-	s := &sim{
+func newSimulation(t testing.TB, domains int, tokens float64) *simulation {
+	s := &simulation{
 		t:      t,
 		refuse: map[Cell]bool{},
 		live:   map[string]time.Time{},
@@ -55,8 +55,8 @@
 	return s
 }
 
-// run applies plans for a time.
-func (s *sim) run(d time.Duration) {
+// run advances the simulation by d, with one plan per step.
+func (s *simulation) run(d time.Duration) {
 	for end := s.in.Now.Add(d); s.in.Now.Before(end); s.in.Now = s.in.Now.Add(step) {
 		for i := range s.in.Servers {
 			server := &s.in.Servers[i]
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *sim) apply(r Result) {
+func (s *simulation) apply(r Result) {
 	s.in.Memory = r.Memory
 	for _, start := range r.Starts {
 		s.starts = append(s.starts, start)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (s *sim) add(cell Cell, state platform.InstanceState) {
+func (s *simulation) add(cell Cell, state platform.InstanceState) {
 	s.number++
 	price := uint64(27)
 	if cell.Reclaimable {
@@ -106,11 +106,11 @@
 		Reclaimable: cell.Reclaimable, State: state, Known: true, Models: map[string]string{"m": "1"}})
 }
 
-func (s *sim) lose(domain string) {
+func (s *simulation) loseDomain(domain string) {
 	s.in.Servers = slices.DeleteFunc(s.in.Servers, func(v Server) bool { return v.Domain == domain })
 }
 
-func (s *sim) capacity(without string) (tokens float64, onDemand int) {
+func (s *simulation) capacity(without string) (tokens float64, onDemand int) {
 	for _, v := range s.in.Servers {
 		if v.Domain != without && v.State == platform.Live {
 			tokens += 1000
@@ -122,8 +122,8 @@
 	return tokens, onDemand
 }
 
-// covered checks that every failure domain may be lost.
-func (s *sim) covered(need float64) {
+// assertSurvivesDomainLoss checks that the capacity meets need after the loss of any one failure domain.
+func (s *simulation) assertSurvivesDomainLoss(need float64) {
 	s.t.Helper()
 	for _, d := range s.in.Domains {
 		left, _ := s.capacity(d.Name)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *sim) refuseStarts(refuse bool, kinds []bool, domains ...string) {
+func (s *simulation) refuseStarts(refuse bool, kinds []bool, domains ...string) {
 	for _, d := range domains {
 		for _, kind := range kinds {
 			s.refuse[Cell{"gpu", d, kind}] = refuse
@@ -139,53 +139,53 @@
 	}
 }
 
-// Guards against a fleet whose rest is too small once a failure domain is lost, again and again, and against a drain
-// that takes the spare capacity away.
+// Guards against a fleet whose remaining capacity is too small after the loss of a failure domain, also for repeated
+// losses, and against drains that remove the spare capacity.
 func TestLossOfDomainIsCovered(t *testing.T) {
 	for _, domains := range []int{2, 3, 4, 6} {
-		s := newSim(t, domains, 20_000)
+		s := newSimulation(t, domains, 20_000)
 		s.run(10 * time.Minute)
-		s.covered(20_000)
+		s.assertSurvivesDomainLoss(20_000)
 		for _, d := range s.in.Domains {
-			s.lose(d.Name)
+			s.loseDomain(d.Name)
 			left, _ := s.capacity("")
 			assert.Assert(t, left >= 20_000, "after the loss of %s there is %.0f", d.Name, left)
 			s.run(10 * time.Minute)
-			s.covered(20_000)
+			s.assertSurvivesDomainLoss(20_000)
 		}
 		s.demand = func(time.Time) float64 { return 5000 }
 		before, _ := s.capacity("")
 		for range 60 {
 			s.run(time.Minute)
-			s.covered(5000)
+			s.assertSurvivesDomainLoss(5000)
 		}
 		after, _ := s.capacity("")
 		assert.Assert(t, after < before/2, "%.0f of %.0f remains", after, before)
 	}
 }
 
-// Guards against a plan that needs more instances than the ideal spread over the failure domains.
+// Guards against a plan that needs more instances than an even spread over the failure domains.
 func TestSpreadIsCheap(t *testing.T) {
-	s := newSim(t, 4, 30_000)
+	s := newSimulation(t, 4, 30_000)
 	s.run(10 * time.Minute)
 	// 40,000 at the target utilization in three of four domains is 14 servers in each.
 	assert.Assert(t, len(s.in.Servers) <= 56, "%d servers", len(s.in.Servers))
 }
 
-// Guards against a group that stays short because one failure domain refuses starts, against on-demand instances while
-// reclaimable ones are to be had, and against on-demand instances that stay for ever.
+// Guards against a group that lacks capacity because one failure domain refuses starts, against on-demand instances
+// while reclaimable ones are available, and against on-demand instances that are never replaced.
 func TestRefusedStarts(t *testing.T) {
-	s := newSim(t, 4, 20_000)
+	s := newSimulation(t, 4, 20_000)
 	s.refuseStarts(true, []bool{true}, "d0")
 	s.run(10 * time.Minute)
-	s.covered(20_000)
+	s.assertSurvivesDomainLoss(20_000)
 	_, onDemand := s.capacity("")
 	assert.Equal(t, onDemand, 0)
 
 	s.demand = func(time.Time) float64 { return 40_000 }
 	s.refuseStarts(true, []bool{true}, "d0", "d1", "d2", "d3")
 	s.run(10 * time.Minute)
-	s.covered(40_000)
+	s.assertSurvivesDomainLoss(40_000)
 	_, onDemand = s.capacity("")
 	assert.Assert(t, onDemand > 0)
 	assert.Equal(t, len(s.asked), 4)
@@ -197,16 +197,16 @@
 	s.refuseStarts(false, []bool{true}, "d0", "d1", "d2", "d3")
 	for range 6 * 60 {
 		s.run(time.Minute)
-		s.covered(40_000)
+		s.assertSurvivesDomainLoss(40_000)
 	}
 	_, onDemand = s.capacity("")
 	assert.Equal(t, onDemand, 0)
 }
 
-// Guards against a fleet that follows the noise of the demand, and against one that misses a steady rise.
+// Guards against a fleet that reacts to noise in the demand, and against one that falls behind a steady rise.
 func TestNoiseAndRise(t *testing.T) {
 	for seed := range uint64(5) {
-		s := newSim(t, 4, 0)
+		s := newSimulation(t, 4, 0)
 		random := rand.New(rand.NewPCG(seed, 1))
 		s.demand = func(time.Time) float64 { return 20_000 * (1 + 0.25*random.NormFloat64()) }
 		s.run(30 * time.Minute)
@@ -220,15 +220,15 @@
 		s.demand = func(now time.Time) float64 { return rising(now) * (1 + 0.1*random.NormFloat64()) }
 		for range 30 {
 			s.run(time.Minute)
-			s.covered(rising(s.in.Now))
+			s.assertSurvivesDomainLoss(rising(s.in.Now))
 		}
 	}
 }
 
-// Guards against a group outside its limits: min_servers, max_servers and the share of reclaimable instances, also when
-// the operators change them.
+// Guards against a group that violates min_servers, max_servers or the limit of reclaimable instances, also after
+// operators change them.
 func TestLimits(t *testing.T) {
-	s := newSim(t, 4, 0)
+	s := newSimulation(t, 4, 0)
 	s.in.Groups[0].MinServers = 10
 	s.in.Policy.MaxReclaimablePercent = 60
 	s.run(5 * time.Minute)
@@ -246,22 +246,22 @@
 	assert.Assert(t, strings.Contains(Plan(s.in).Short["g"], "max_servers"))
 }
 
-// Guards against a cheap instance that is reclaimed so often that its loss costs more than the price of another.
+// Guards against starting cheap instances that are reclaimed so often that they cost more than others.
 func TestReclaimRateRaisesPrice(t *testing.T) {
-	s := newSim(t, 4, 8000)
+	s := newSimulation(t, 4, 8000)
 	s.in.StartTime = 5 * time.Minute
 	s.in.Reclaims = map[PlaceKey]ReclaimHistory{{"gpu", "d0"}: {Reclaims: 2000, InstanceHours: 10}}
 	s.run(10 * time.Minute)
 	for _, v := range s.in.Servers {
 		assert.Assert(t, v.Domain != "d0" || !v.Reclaimable)
 	}
-	s.covered(8000)
+	s.assertSurvivesDomainLoss(8000)
 }
 
-// Guards against weights that are loaded in the wrong order, loaded again while they are on their way, or updated
-// everywhere at once, and against a draining server that takes requests.
+// Guards against models that are loaded in the wrong order, ordered again while an order is pending, or updated on all
+// servers at once, and against a draining server that takes requests.
 func TestOrders(t *testing.T) {
-	s := newSim(t, 2, 0)
+	s := newSimulation(t, 2, 0)
 	s.in.Groups[0].ChecksFencing = true
 	s.in.Groups[0].Models = []Model{
 		{Name: "big", Version: "2", Adapters: []string{"a"}, WeightsMiB: 900, MinPerDomain: 1},
@@ -297,7 +297,7 @@
 	for _, o := range orders {
 		for i := range s.in.Servers {
 			if server := &s.in.Servers[i]; server.ID == o.Server {
-				server.note(o.Order)
+				server.recordOrder(o.Order)
 			}
 		}
 	}
@@ -306,8 +306,8 @@
 	}
 }
 
-// note enters an order that was given.
-func (s *Server) note(o backend.Order) {
+// recordOrder adds an order to the pending orders of the server.
+func (s *Server) recordOrder(o backend.Order) {
 	if s.Ordered == nil {
 		s.Ordered = map[string]string{}
 	}
@@ -321,9 +321,9 @@
 	}
 }
 
-// BenchmarkPlan plans for the target size after the loss of one of six failure domains: 640 servers in all.
+// BenchmarkPlan measures a plan at the target size, 640 servers, after the loss of one of six failure domains.
 func BenchmarkPlan(b *testing.B) {
-	s := newSim(b, 6, 0)
+	s := newSimulation(b, 6, 0)
 	for i := range s.in.Domains {
 		s.in.Domains[i].Region = fmt.Sprint("region", i%2)
 	}
@@ -340,7 +340,7 @@
 		s.add(Cell{"gpu", fmt.Sprint("d", i%6), i%3 > 0}, platform.Live)
 		s.in.Servers[i].Models = map[string]string{"m0": "1", fmt.Sprint("m", i%20): "1"}
 	}
-	s.lose("d3")
+	s.loseDomain("d3")
 	for b.Loop() {
 		if r := Plan(s.in); len(r.Starts) == 0 || len(r.Orders) == 0 {
 			b.Fatal("nothing planned")
