--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -18,17 +18,17 @@
 // proves that its write took effect, however old the read is, because no other attempt replaces the row of an attempt
 // that may still send.
 //
-// When another attempt may have run, the caller never gets ran:"no". It gets the outcome from the row, from
-// the node that holds the attempt or from the service, or else ran:"unknown". Only a positive answer of the service
-// counts, because the call can still reach the service after the query.
+// When another attempt of the same request may have run, the caller never gets ran:"no". It gets the outcome from the
+// row, from the node that holds the attempt or from the service, or else ran:"unknown". Only a positive answer of the
+// service counts, because the call can still reach the service after the query.
 //
 // # Retention
 //
 // A row expires Options.Retention after it was written. Expired rows may be replaced or purged, in any state; a
 // DISPATCHED row is not replaced or purged before that, unless its attempt was abandoned. Nodes allow for a difference
-// of expirySlack between their wall clocks. Once its row has expired, a key may be used for a new call. A
-// holder that was paused past that time does not run the old call, because it checks the store timeout right before it
-// sends. CANCELLED rows may be replaced at any time, also by a call with another digest, since no call ran.
+// of expirySlack between their wall clocks. Once its row has expired, a key may be used for a new call. A holder that was
+// paused past that time does not run the old call, because it checks the store timeout right before it sends. CANCELLED
+// rows may be replaced at any time, also by a call with another digest, since no call ran.
 package claim
 
 import (
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -58,7 +58,7 @@
 	return p.Client.Commit(ctx, m)
 }
 
-func newNode(tab *table.Table, name string) (*Leases, *pausedTable) {
+func node(tab *table.Table, name string) (*Leases, *pausedTable) {
 	store := &pausedTable{Client: tab.NewClient(name)}
 	ids := 0
 	id := func() string { ids++; return fmt.Sprint(ids) }
@@ -81,8 +81,8 @@
 func TestRenewAndRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, _ := newNode(tab, "a")
-		b, _ := newNode(tab, "b")
+		a, _ := node(tab, "a")
+		b, _ := node(tab, "b")
 		held := acquire(t, a)
 		short, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
@@ -105,8 +105,8 @@
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, store := newNode(tab, "a")
-		b, _ := newNode(tab, "b")
+		a, store := node(tab, "a")
+		b, _ := node(tab, "b")
 		held := acquire(t, a)
 		acquired := time.Now()
 		store.pause(5 * time.Minute)
@@ -124,7 +124,7 @@
 func TestLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(table.Options{})
-		a, store := newNode(tab, "a")
+		a, store := node(tab, "a")
 		store.SetFaults(table.Faults{LostPercent: 100})
 		held := acquire(t, a)
 		time.Sleep(5 * time.Minute)
@@ -218,7 +218,7 @@
 	var stores []*pausedTable
 	var wg sync.WaitGroup
 	for i := range 3 {
-		l, store := newNode(tab, fmt.Sprintf("node-%d", i))
+		l, store := node(tab, fmt.Sprintf("node-%d", i))
 		l.o.Duration = 4 * time.Second
 		l.o.MaxOrderTime = time.Second
 		stores = append(stores, store)
