--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -252,7 +252,7 @@
 	s.evictExpired(c.o.Now())
 	if e := s.entries[key]; e != nil {
 		if e.digest != call.Digest && e.phase == claiming {
-			// Until the claim is confirmed, it is open which digest the key belongs to.
+			// Until the claim is confirmed, it is undecided which digest the key belongs to.
 			return nil, false, c.errInProgress()
 		}
 		if e.digest != call.Digest {
--- a/pkg/fleet/plan_test.go
+++ b/pkg/fleet/plan_test.go
@@ -21,25 +21,25 @@
 
 // simulation applies plans to a simulated fleet.
 type simulation struct {
-	t       testing.TB
-	in      Input
-	history History
-	demand  func(now time.Time) float64 // of model "m"
-	refuse  map[Cell]bool
-	live    map[string]time.Time // when a starting server becomes live
-	number  int
-	starts  []Start
-	drains  []Drain
-	asked   map[Cell][]time.Time
+	t         testing.TB
+	in        Input
+	history   History
+	demand    func(now time.Time) float64 // of model "m"
+	refuse    map[Cell]bool
+	live      map[string]time.Time // when a starting server becomes live
+	number    int
+	starts    []Start
+	drains    []Drain
+	requested map[Cell][]time.Time
 }
 
 func newSimulation(t testing.TB, domains int, tokens float64) *simulation {
 	s := &simulation{
-		t:      t,
-		refuse: map[Cell]bool{},
-		live:   map[string]time.Time{},
-		asked:  map[Cell][]time.Time{},
-		demand: func(time.Time) float64 { return tokens },
+		t:         t,
+		refuse:    map[Cell]bool{},
+		live:      map[string]time.Time{},
+		requested: map[Cell][]time.Time{},
+		demand:    func(time.Time) float64 { return tokens },
 	}
 	class := Class{Name: "gpu", TokensPerSecond: 1000, ReclaimableMicros: 10, OnDemandMicros: 27}
 	model := Model{Name: "m", Version: "1", WeightsMiB: 100, MinPerDomain: 1}
@@ -81,7 +81,7 @@
 			if old.Last.Equal(s.in.Now) {
 				continue
 			}
-			s.asked[start.Cell] = append(s.asked[start.Cell], s.in.Now)
+			s.requested[start.Cell] = append(s.requested[start.Cell], s.in.Now)
 			s.in.Refusals[start.Cell] = Refusal{Count: old.Count + 1, Last: s.in.Now}
 			continue
 		}
@@ -188,8 +188,8 @@
 	s.assertSurvivesDomainLoss(40_000)
 	_, onDemand = s.capacity("")
 	assert.Assert(t, onDemand > 0)
-	assert.Equal(t, len(s.asked), 4)
-	for cell, times := range s.asked {
+	assert.Equal(t, len(s.requested), 4)
+	for cell, times := range s.requested {
 		for i := 1; i < len(times); i++ {
 			assert.Assert(t, times[i].Sub(times[i-1]) >= refusalBackoff, "%v asked at %v", cell, times)
 		}
--- a/pkg/fleet/shrink.go
+++ b/pkg/fleet/shrink.go
@@ -72,9 +72,9 @@
 }
 
 // replaceOne replaces one server of the wrong kind: a reclaimable one when there are more of them than the limit
-// allows, or one on demand when a reclaimable one is cheaper by replaceGain. If the other servers
-// suffice, the server is drained at once; otherwise a replacement is started first and the server is drained when the
-// replacement is live.
+// allows, or one on demand when a reclaimable one is cheaper by replaceGain. If the other servers suffice, the
+// server is drained at once; otherwise a replacement is started first and the server is drained when the replacement is
+// live.
 func (s *groupPlan) replaceOne(peak float64) {
 	if s.drains > 0 || !s.mayDrain() {
 		return
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -100,8 +100,8 @@
 }
 
 // contains reports whether the period contains now, by whichever of the two clocks has advanced further.
-func (s validity) contains(now time.Time) bool {
-	return now.Sub(s.start) < s.duration && now.Round(0).Sub(s.start.Round(0)) < s.duration
+func (v validity) contains(now time.Time) bool {
+	return now.Sub(v.start) < v.duration && now.Round(0).Sub(v.start.Round(0)) < v.duration
 }
 
 // acquisition is one call of Acquire.
@@ -171,8 +171,8 @@
 	return a.seenAt.Add(wait + time.Duration(clockDrift*float64(wait)))
 }
 
-// writeRow writes a row for this acquisition under the condition that the row has not changed since it was last read. It
-// returns nil when the write is not confirmed in time.
+// writeRow writes a row for this acquisition under the condition that the row has not changed since it was last read.
+// It returns nil when the write is not confirmed in time.
 func (a *acquisition) writeRow(ctx context.Context) *Held {
 	cond := platform.Condition{Kind: platform.VersionIs, Version: a.version}
 	if a.version == 0 {
