--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,9 @@
 // Package dispatch sends calls to plain services.
 //
-// How a call is treated follows from its route. A non-repeatable call runs under a claim and is sent to another
-// server only while no byte of it has left this node. An idempotent call is retried on other servers within the
-// retry budget. Any other call is sent once, with other servers only while nothing has left. A call that fails
-// after it was sent is answered ran:"unknown".
+// The route of a call determines how failures are handled. A non-repeatable call runs under a claim and fails over to
+// another server only while no byte of it has left this node. An idempotent call is retried on other servers within the
+// retry budget. Any other call runs without a claim and fails over like a non-repeatable one. A call that fails after
+// it may have reached a server gets an error with ran:"unknown".
 package dispatch
 
 import (
@@ -29,43 +29,44 @@
 )
 
 const (
-	// maxServers bounds the servers one call is tried on.
+	// maxServers bounds the number of servers that one call is sent to.
 	maxServers = 4
-	// retryAfter is what callers are told when no server could take the call.
+	// retryAfter is the Retry-After delay that callers get when no server could take the call.
 	retryAfter = time.Second
-	// outcomeInterval is how long a non-repeatable call is waited for before the service is asked for its outcome.
-	outcomeInterval = time.Second
-	// tryShare is the part of a repeatable call's time that one server gets, as a divisor; the last server gets the rest.
-	tryShare = 4
-	// strikeDigestBytes keeps the keys of gossiped strikes short.
+	// outcomeQueryInterval is how often the service is queried for the outcome of a non-repeatable call in progress.
+	outcomeQueryInterval = time.Second
+	// attemptTimeDivisor limits one server to this fraction (1/n) of an idempotent call's remaining time. The last
+	// server gets all of the rest.
+	attemptTimeDivisor = 4
+	// strikeDigestBytes is the length to which digests are truncated, to keep the keys of gossiped strikes short.
 	strikeDigestBytes = 8
-	// heldPoll is how often a call that must not run now asks again.
-	heldPoll = 100 * time.Millisecond
-	// headerAttempt tells a service which attempt of a non-repeatable call it runs.
-	headerAttempt = "X-Pollenlug-Attempt"
+	// heldPollInterval is how often a call retries to begin after Strikes has refused its run.
+	heldPollInterval = 100 * time.Millisecond
+	// attemptHeader carries the attempt id of a non-repeatable call to the service.
+	attemptHeader = "X-Pollenlug-Attempt"
 )
 
 // Budget limits retries.
 type Budget interface {
 	// Request counts a first attempt, which adds to the budget.
 	Request()
-	// Take takes one retry from the budget and reports whether there was one.
-	Take() bool
+	// Withdraw takes one retry from the budget and reports whether one was available.
+	Withdraw() bool
 }
 
-// Strikes knows the requests that crash servers; see generate.Strikes.
+// Strikes tracks the requests that crash servers; see generate.Strikes.
 type Strikes interface {
 	State(digest string) (state strike.State, wait time.Duration)
 	Begin(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
 }
 
-// Options are the parts of a Dispatcher.
+// Options are the dependencies of a Dispatcher.
 type Options struct {
 	Router  *route.Router
 	Service backend.Service
 	Budget  Budget
 	Strikes Strikes
-	// Health learns which servers fail.
+	// Health receives the success or failure of each call, by server.
 	Health  interface{ Observe(server string, ok bool) }
 	Config  func() *config.Index
 	Metrics *metrics.Set
@@ -81,37 +82,38 @@
 // New returns a Dispatcher. UseClaims must be called before the first call.
 func New(opts Options) *Dispatcher { return &Dispatcher{Options: opts} }
 
-// UseClaims sets the claims that guard non-repeatable calls; they ask the Dispatcher for outcomes.
+// UseClaims sets the claims that protect non-repeatable calls from running twice. It is separate from New because the
+// claims in turn query the Dispatcher for outcomes.
 func (d *Dispatcher) UseClaims(claims *claim.Claims) { d.claims = claims }
 
 // Call implements gateway.Services.
 func (d *Dispatcher) Call(ctx context.Context, call gateway.ServiceCall) (backend.CallResponse, error) {
 	d.Budget.Request()
-	if state, _ := d.Strikes.State(contentOf(call)); state == strike.Quarantined {
+	if state, _ := d.Strikes.State(contentDigest(call)); state == strike.Quarantined {
 		return backend.CallResponse{}, code.New(code.RequestQuarantined, "this call has crashed two backend servers")
 	}
 	if call.Route.NonRepeatable {
-		return d.callOnce(ctx, call)
+		return d.callNonRepeatable(ctx, call)
 	}
-	response, _, err := d.try(ctx, call, call.Request, call.Route.Idempotent)
+	response, _, err := d.callServers(ctx, call, call.Request, call.Route.Idempotent)
 	return response, err
 }
 
-// contentOf identifies what a call asks for, whoever sends it, for strikes.
-func contentOf(call gateway.ServiceCall) string {
+// contentDigest returns the key of a call's strikes. It does not depend on who sends the call.
+func contentDigest(call gateway.ServiceCall) string {
 	sum := digest(call.Service.Name, call.Request)
 	return hex.EncodeToString(sum[:strikeDigestBytes])
 }
 
-// callOnce runs a non-repeatable call under a claim.
-func (d *Dispatcher) callOnce(ctx context.Context, call gateway.ServiceCall) (backend.CallResponse, error) {
-	claimed := claim.Call{
+// callNonRepeatable runs a non-repeatable call under a claim.
+func (d *Dispatcher) callNonRepeatable(ctx context.Context, call gateway.ServiceCall) (backend.CallResponse, error) {
+	claimCall := claim.Call{
 		Workspace: call.Workspace.Name,
 		Key:       call.Key,
 		Service:   call.Service.Name,
 		Digest:    digest(call.Service.Name, call.Request),
 	}
-	outcome, err := d.claims.Do(ctx, claimed, func(ctx context.Context, attempt string) (claim.Outcome, claim.Sent, error) {
+	outcome, err := d.claims.Do(ctx, claimCall, func(ctx context.Context, attempt string) (claim.Outcome, claim.Sent, error) {
 		ctx, cancel := context.WithTimeout(ctx, call.Service.Timeout)
 		defer cancel()
 		return d.send(ctx, call, attempt)
@@ -128,35 +130,35 @@
 	request := call.Request
 	request.Header = request.Header.Clone()
 	request.Header.Set(gateway.HeaderIdempotencyKey, call.Workspace.Name+"/"+call.Key)
-	request.Header.Set(headerAttempt, attempt)
+	request.Header.Set(attemptHeader, attempt)
 	request.NewConnection = true
-	answered := make(chan answer, 1)
+	results := make(chan callResult, 1)
 	go func() {
-		response, sent, err := d.try(ctx, call, request, false)
-		answered <- answer{response, sent, err}
+		response, sent, err := d.callServers(ctx, call, request, false)
+		results <- callResult{response, sent, err}
 	}()
-	return d.awaitOutcome(ctx, call, attempt, answered)
+	return d.awaitOutcome(ctx, call, attempt, results)
 }
 
-// answer is how a call to a service ended.
-type answer struct {
+// callResult is the result of a call to a service; sent reports whether a server may have received any of it.
+type callResult struct {
 	response backend.CallResponse
 	sent     bool
 	err      error
 }
 
-// awaitOutcome waits for the answer of a non-repeatable call. When it is late, the service is asked for the outcome on
-// another connection: the one of the call may have gone silent after the call ran.
-func (d *Dispatcher) awaitOutcome(ctx context.Context, call gateway.ServiceCall, attempt string, answered <-chan answer) (claim.Outcome, claim.Sent, error) {
-	ticker := time.NewTicker(outcomeInterval)
+// awaitOutcome waits for the response to a non-repeatable call. While there is none, it queries the service for the
+// outcome on another connection: the connection of the call may have gone silent after the call ran.
+func (d *Dispatcher) awaitOutcome(ctx context.Context, call gateway.ServiceCall, attempt string, results <-chan callResult) (claim.Outcome, claim.Sent, error) {
+	ticker := time.NewTicker(outcomeQueryInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case a := <-answered:
-			return a.outcome()
+		case result := <-results:
+			return result.outcome()
 		case <-ticker.C:
-			claimed := claim.Call{Workspace: call.Workspace.Name, Key: call.Key, Service: call.Service.Name}
-			out, found, err := d.Outcome(ctx, claimed, attempt)
+			claimCall := claim.Call{Workspace: call.Workspace.Name, Key: call.Key, Service: call.Service.Name}
+			out, found, err := d.Outcome(ctx, claimCall, attempt)
 			if found && err == nil {
 				d.Metrics.Retry("service_outcome")
 				return out, claim.MaybeSent, nil
@@ -165,19 +167,19 @@
 	}
 }
 
-func (a answer) outcome() (claim.Outcome, claim.Sent, error) {
-	if a.err != nil && !a.sent {
-		return claim.Outcome{}, claim.NothingSent, a.err
+func (r callResult) outcome() (claim.Outcome, claim.Sent, error) {
+	if r.err != nil && !r.sent {
+		return claim.Outcome{}, claim.NothingSent, r.err
 	}
-	if a.err != nil {
-		return claim.Outcome{}, claim.MaybeSent, a.err
+	if r.err != nil {
+		return claim.Outcome{}, claim.MaybeSent, r.err
 	}
-	response := a.response
+	response := r.response
 	return claim.Outcome{Status: uint32(response.Status), ContentType: response.Header.Get("Content-Type"), Body: response.Body}, claim.MaybeSent, nil
 }
 
-// digest identifies a call's content. It covers the service, since a key is unique in its workspace and not only in
-// one service.
+// digest returns a hash of a call's content. It includes the service, because idempotency keys are unique per
+// workspace, not per service.
 func digest(service string, request backend.CallRequest) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{service, request.Method, request.Path} {
@@ -188,47 +190,47 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// try sends a call to servers of its group until one answers. Unless the call is repeatable it stops at the first
-// server that may have received a byte. Sent tells whether any server may have.
-func (d *Dispatcher) try(ctx context.Context, call gateway.ServiceCall, request backend.CallRequest, repeatable bool) (
+// callServers sends a call to the servers of its group, one after the other, until one responds. Unless the call is
+// idempotent it stops at the first server that may have received a byte. sent reports whether any server may have.
+func (d *Dispatcher) callServers(ctx context.Context, call gateway.ServiceCall, request backend.CallRequest, idempotent bool) (
 	response backend.CallResponse, sent bool, err error) {
-	content := contentOf(call)
+	content := contentDigest(call)
 	req := route.Request{Group: call.Service.BackendGroup}
-	for try := range maxServers {
-		var run *run
-		run, err = d.begin(ctx, &req, content)
+	for i := range maxServers {
+		var current *serverCall
+		current, err = d.begin(ctx, &req, content)
 		if err != nil {
 			break
 		}
-		response, err = run.sendWithin(ctx, request, repeatable && try < maxServers-1)
+		response, err = current.sendWithTimeLimit(ctx, request, idempotent && i < maxServers-1)
 		if err == nil {
 			return response, true, nil
 		}
-		reached := !errors.Is(err, backend.ErrUnreachable)
-		sent = sent || reached
-		if ctx.Err() != nil || (reached && !repeatable) {
+		maybeReceived := !errors.Is(err, backend.ErrUnreachable)
+		sent = sent || maybeReceived
+		if ctx.Err() != nil || (maybeReceived && !idempotent) {
 			break
 		}
-		if !d.Budget.Take() {
+		if !d.Budget.Withdraw() {
 			err = code.Wrap(code.RetryBudgetExhausted, code.RanUnknown, "the retry budget is spent", err).After(retryAfter)
 			break
 		}
 		d.Metrics.Retry(retryReason(err))
-		req.Exclude = append(req.Exclude, run.pick.Server.ID)
+		req.Exclude = append(req.Exclude, current.pick.Server.ID)
 	}
-	return response, sent, d.failure(ctx, sent, err)
+	return response, sent, d.callError(ctx, sent, err)
 }
 
-// run is one call on one server.
-type run struct {
+// serverCall is one run of a call on one server.
+type serverCall struct {
 	dispatcher *Dispatcher
 	pick       route.Pick
 	end        func(strike.Outcome)
 }
 
-// begin chooses a server and counts the run, which may earn the call a strike. It waits while a decision on the call's
-// strikes is pending or another run of the same content must end first.
-func (d *Dispatcher) begin(ctx context.Context, req *route.Request, content string) (*run, error) {
+// begin picks a server and registers the run with Strikes. It waits while a decision on the call's strikes is pending
+// or another run of the same content must end first.
+func (d *Dispatcher) begin(ctx context.Context, req *route.Request, content string) (*serverCall, error) {
 	for {
 		state, wait := d.Strikes.State(content)
 		if state == strike.Quarantined {
@@ -241,10 +243,10 @@
 				return nil, code.Wrap(code.NoBackendServer, code.RanNo, "no backend server can take the call", err).After(retryAfter)
 			}
 			if end, ok := d.Strikes.Begin(pick.Server, content); ok {
-				return &run{d, pick, end}, nil
+				return &serverCall{d, pick, end}, nil
 			}
 			pick.Done(route.Result{Outcome: route.Cancelled})
-			wait = heldPoll
+			wait = heldPollInterval
 		}
 		d.Metrics.Retry("held")
 		if !clock.Sleep(ctx, wait) {
@@ -253,27 +255,27 @@
 	}
 }
 
-// sendWithin sends the call. A server that may be passed over gets a part of the time only: its connection may have
-// gone silent, which without an answer cannot be told from a slow call.
-func (r *run) sendWithin(ctx context.Context, request backend.CallRequest, mayPass bool) (backend.CallResponse, error) {
+// sendWithTimeLimit sends the call. If the call can be retried on another server, this one gets only a part of the
+// remaining time: its connection may have gone silent, which cannot be distinguished from a slow call.
+func (c *serverCall) sendWithTimeLimit(ctx context.Context, request backend.CallRequest, canRetry bool) (backend.CallResponse, error) {
 	deadline, ok := ctx.Deadline()
-	if !mayPass || !ok {
-		return r.send(ctx, request)
+	if !canRetry || !ok {
+		return c.send(ctx, request)
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Until(deadline)/tryShare)
+	ctx, cancel := context.WithTimeout(ctx, time.Until(deadline)/attemptTimeDivisor)
 	defer cancel()
-	return r.send(ctx, request)
+	return c.send(ctx, request)
 }
 
-func (r *run) send(ctx context.Context, request backend.CallRequest) (backend.CallResponse, error) {
-	response, err := r.dispatcher.sendTo(ctx, &r.pick, request)
+func (c *serverCall) send(ctx context.Context, request backend.CallRequest) (backend.CallResponse, error) {
+	response, err := c.dispatcher.sendTo(ctx, &c.pick, request)
 	switch {
 	case err == nil:
-		r.end(strike.Completed)
+		c.end(strike.Completed)
 	case ctx.Err() == nil && errors.Is(err, backend.ErrInterrupted):
-		r.end(strike.Interrupted)
+		c.end(strike.Interrupted)
 	default:
-		r.end(strike.Abandoned)
+		c.end(strike.Abandoned)
 	}
 	return response, err
 }
@@ -292,9 +294,9 @@
 }
 
 func (d *Dispatcher) sendTo(ctx context.Context, pick *route.Pick, request backend.CallRequest) (backend.CallResponse, error) {
-	begin := time.Now()
+	started := time.Now()
 	response, err := d.Service.Call(ctx, pick.Server.Addr, request)
-	result := route.Result{FirstToken: time.Since(begin), Outcome: route.Succeeded}
+	result := route.Result{FirstToken: time.Since(started), Outcome: route.Succeeded}
 	d.Health.Observe(pick.Server.ID, err == nil || errors.Is(err, backend.ErrRefused))
 	if err != nil {
 		result.Outcome = route.Failed
@@ -304,28 +306,29 @@
 	return response, err
 }
 
-// failure returns the refusal of a call that no server answered. Its ran says no only when nothing was sent.
-func (d *Dispatcher) failure(ctx context.Context, sent bool, err error) error {
+// callError returns the error for a call that got no response. Its ran is no only if no server can have received any of
+// the call.
+func (d *Dispatcher) callError(ctx context.Context, sent bool, err error) error {
 	var refusal *code.Error
 	switch {
 	case ctx.Err() != nil:
-		return code.Wrap(code.DeadlineExceeded, ranOf(sent), "the deadline passed before the service answered", ctx.Err())
+		return code.Wrap(code.DeadlineExceeded, ranStatus(sent), "the deadline passed before the service answered", ctx.Err())
 	case errors.As(err, &refusal):
-		return refusal.WithRan(ranOf(sent))
+		return refusal.WithRan(ranStatus(sent))
 	default:
-		return code.Wrap(code.BackendFailed, ranOf(sent), "the service did not answer", err).After(retryAfter)
+		return code.Wrap(code.BackendFailed, ranStatus(sent), "the service did not answer", err).After(retryAfter)
 	}
 }
 
-func ranOf(sent bool) code.Ran {
+func ranStatus(sent bool) code.Ran {
 	if sent {
 		return code.RanUnknown
 	}
 	return code.RanNo
 }
 
-// Outcome implements claim.Outcomes: it asks the servers of a service that can be queried. A service answers 200 with
-// the stored answer, and 404 when it does not know the key.
+// Outcome implements claim.Outcomes: it queries the servers of a service whose backend group has an outcome path. A
+// service responds with 200 and the stored response, or with 404 if it does not know the key.
 func (d *Dispatcher) Outcome(ctx context.Context, call claim.Call, _ string) (claim.Outcome, bool, error) {
 	index := d.Config()
 	if index == nil {
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -17,19 +17,19 @@
 
 const (
 	demandKeyPrefix = "demand/"
-	// demandInterval is how often a node tells the others what its workspaces asked for.
+	// demandInterval is how often a node publishes the demand of its workspaces to the other nodes.
 	demandInterval = time.Second
-	// demandTTL outlives a few lost items; a node that is silent for longer counts as out of touch.
+	// demandTTL tolerates a few lost gossip items; a node whose item has expired counts as unreachable.
 	demandTTL = 10 * time.Second
-	// slotInterval is short against the time to the first token, in which the learned limits may double.
+	// slotInterval is much shorter than the time to first token, in which the learned limits may double.
 	slotInterval = 50 * time.Millisecond
-	// idleSlotInterval spares an idle node wake-ups.
+	// idleSlotInterval reduces wake-ups while the node has no open requests.
 	idleSlotInterval = 500 * time.Millisecond
-	// minSlots lets a node start work before it knows any server.
+	// minSlots lets a node admit requests before it knows any server.
 	minSlots = 16
 )
 
-// setWorkspaces gives the admission the shares and limits of a configuration.
+// setWorkspaces sets the shares and limits of a configuration's workspaces.
 func setWorkspaces(a *limit.Admission, index *config.Index) {
 	var out []limit.Workspace
 	for _, w := range index.Folder().Workspaces {
@@ -45,9 +45,9 @@
 	a.SetWorkspaces(out)
 }
 
-// exchangeDemand tells the other nodes the demand on this node, and takes theirs, until ctx ends.
+// exchangeDemand publishes the demand on this node to the other nodes, and receives theirs, until ctx ends.
 func (n *Node) exchangeDemand(ctx context.Context) {
-	n.cluster.gossip.Watch(demandKeyPrefix, n.takeDemand)
+	n.cluster.gossip.Watch(demandKeyPrefix, n.handleDemand)
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, demandInterval)
 		var names []string
@@ -59,27 +59,28 @@
 		n.admission.SetNodes(names)
 		n.router.SetPeers(len(n.cluster.live()))
 		limited := limitedWorkspaces(n.Config())
-		out := &pb.WorkspaceDemand{}
+		message := &pb.WorkspaceDemand{}
 		for _, d := range n.admission.ExportDemand() {
 			if !limited[d.Workspace] {
 				continue
 			}
-			out.Demands = append(out.Demands, &pb.Demand{
+			message.Demands = append(message.Demands, &pb.Demand{
 				Workspace:         d.Workspace,
 				RequestsPerSecond: d.Requests,
 				TokensPerSecond:   d.Tokens,
 				Concurrent:        d.Concurrent,
 			})
 		}
-		// A node without demand says so: one that is not heard of keeps a part of each limit reserved.
+		// Published even without demand: a part of each limit stays reserved for a node without an item.
 		if len(limited) > 0 {
-			n.cluster.publish(demandKeyPrefix+n.opts.Settings.Node, out, demandTTL, false)
+			n.cluster.publish(demandKeyPrefix+n.opts.Settings.Node, message, demandTTL, false)
 		}
 		n.cluster.view.SetLoad(int(n.openRequests.Load()))
 	}
 }
 
-// limitedWorkspaces names the workspaces with a limit over all nodes; the demand of others concerns nobody else.
+// limitedWorkspaces returns the names of the workspaces that have a cluster-wide limit. Other nodes need no demand of
+// workspaces without one.
 func limitedWorkspaces(index *config.Index) map[string]bool {
 	out := map[string]bool{}
 	if index == nil {
@@ -93,13 +94,13 @@
 	return out
 }
 
-// mayAdmit reports whether a node may still admit requests, and so needs its share of the limits: also one that is
-// suspected or out of touch.
+// mayAdmit reports whether a node may still admit requests and so needs its share of the limits. That includes a node
+// that is suspected or unreachable.
 func mayAdmit(m membership.Member) bool {
 	return m.Status != pb.MemberState_DEAD && m.Status != pb.MemberState_LEFT
 }
 
-// adjustSlots follows the limits learned from the servers' latency until ctx ends.
+// adjustSlots keeps the admission's concurrency equal to slots until ctx ends.
 func (n *Node) adjustSlots(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.admission.SetConcurrency(n.slots())
@@ -111,7 +112,7 @@
 	}
 }
 
-func (n *Node) takeDemand(item *pb.GossipItem) {
+func (n *Node) handleDemand(item *pb.GossipItem) {
 	var message pb.WorkspaceDemand
 	if proto.Unmarshal(item.Value, &message) != nil {
 		return
@@ -128,8 +129,8 @@
 	n.admission.SetDemand(strings.TrimPrefix(item.Key, demandKeyPrefix), demands)
 }
 
-// slots returns how many generations this node may run at a time: what it may have in flight on all engines by the
-// limits that it has learned from their latency.
+// slots returns how many generations this node may run at the same time: the sum of the in-flight limits of all
+// engines, which it has learned from their latency.
 func (n *Node) slots() int {
 	sum := 0
 	for _, instance := range n.tracker.List() {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -18,27 +18,28 @@
 )
 
 const (
-	// folderReaders is how many nodes read the operators' folder; more than one, so that the loss of a node delays
-	// nothing.
+	// folderReaders is how many nodes read the operators' folder; more than one, so that losing a node causes no delay.
 	folderReaders = 3
 	folderRole    = "folder"
-	// listRole is held by the node that reads the instance list for all, noticeRole by those that read the notices.
-	listRole      = "instance-list-reader"
-	noticeRole    = "notice-reader"
-	noticeReaders = 2
-	// purgeRole is held by the node that deletes old rows of non-repeatable calls.
+	// instanceListRole is held by the node that reads the instance list for all nodes, noticeRole by the nodes that
+	// read the reclaim notices.
+	instanceListRole = "instance-list-reader"
+	noticeRole       = "notice-reader"
+	noticeReaders    = 2
+	// purgeRole is held by the node that deletes the old claim rows of non-repeatable calls.
 	purgeRole = "claim-purger"
-	// configKey is the item that announces the newest configuration in force.
+	// configKey is the key of the gossip item that announces the newest configuration in force.
 	configKey = "config/current"
-	// versionBytes and digestChars are the sizes of its parts; the node's name follows.
+	// versionBytes and digestChars are the sizes of the version and the digest in its value; the name of the announcing
+	// node follows them.
 	versionBytes = 8
 	digestChars  = 64
 )
 
-// errUnknownNode means that a message was meant for a node that is not in the view.
+// errUnknownNode means that the recipient of a message is not in this node's membership view.
 var errUnknownNode = merry.New("node is not a live member")
 
-// cluster is a node's view of the other nodes: membership, gossip and the requests to peers.
+// cluster is a node's connection to the other nodes: membership, gossip and requests to peers.
 type cluster struct {
 	self      membership.Member
 	transport Transport
@@ -70,7 +71,7 @@
 	}
 }
 
-// start runs membership, which drives gossip too.
+// start runs the membership protocol, which also drives gossip, until ctx ends.
 func (c *cluster) start(ctx context.Context, wg *sync.WaitGroup) {
 	wg.Go(func() { c.view.Run(ctx) })
 }
@@ -88,7 +89,7 @@
 	return membership.Member{}, false
 }
 
-// hasRole reports whether this node is one of the n live nodes that hold a role.
+// hasRole reports whether this node is one of the n live nodes that hold a role by rendezvous hashing.
 func (c *cluster) hasRole(role string, n int) bool {
 	for _, m := range membership.Rendezvous(role, c.live(), n) {
 		if m.Node == c.self.Node {
@@ -101,7 +102,7 @@
 // readsFolder reports whether this node is one of those that read the operators' folder.
 func (c *cluster) readsFolder() bool { return c.hasRole(folderRole, folderReaders) }
 
-// handle answers messages of gossip and membership.
+// handle processes a gossip or membership message.
 func (c *cluster) handle(_ context.Context, from string, env *pb.Envelope) (*pb.Envelope, error) {
 	c.view.Receive(from, env)
 	return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{}}}, nil
@@ -122,39 +123,39 @@
 	return out
 }
 
-// request sends a message to a node by its name.
+// request sends a message to the named node and returns its reply. A reply with a result code becomes a *code.Error.
 func (c *cluster) request(ctx context.Context, node string, env *pb.Envelope) (*pb.Envelope, error) {
 	m, ok := c.member(node)
 	if !ok {
 		return nil, merry.Prepend(errUnknownNode, node)
 	}
-	answer, err := c.transport.Request(ctx, m.NodeAddr, env)
+	reply, err := c.transport.Request(ctx, m.NodeAddr, env)
 	if err != nil {
 		return nil, err
 	}
-	if ack := answer.GetAck(); ack != nil && ack.Code != 0 {
+	if ack := reply.GetAck(); ack != nil && ack.Code != 0 {
 		return nil, code.New(code.Code(ack.Code), ack.Message)
 	}
-	return answer, nil
+	return reply, nil
 }
 
 // FetchConfig implements configstore.Peers.
 func (c *cluster) FetchConfig(ctx context.Context, node string, fetch *pb.ConfigFetch) (*pb.ConfigState, error) {
-	answer, err := c.request(ctx, node, &pb.Envelope{Body: &pb.Envelope_ConfigFetch{ConfigFetch: fetch}})
-	return answer.GetConfigState(), err
+	reply, err := c.request(ctx, node, &pb.Envelope{Body: &pb.Envelope_ConfigFetch{ConfigFetch: fetch}})
+	return reply.GetConfigState(), err
 }
 
 // AttemptQuery implements claim.Peers.
 func (c *cluster) AttemptQuery(ctx context.Context, node string, query *pb.AttemptQuery) (*pb.AttemptState, error) {
-	answer, err := c.request(ctx, node, &pb.Envelope{Body: &pb.Envelope_AttemptQuery{AttemptQuery: query}})
-	return answer.GetAttemptState(), err
+	reply, err := c.request(ctx, node, &pb.Envelope{Body: &pb.Envelope_AttemptQuery{AttemptQuery: query}})
+	return reply.GetAttemptState(), err
 }
 
-// announceConfig tells the other nodes of a version in force, unless they are being told already: 400 nodes that each
-// announce a version would fill the budget of gossip for a minute.
+// announceConfig announces a version in force to the other nodes, unless it or a later one is already being announced:
+// if each of 400 nodes announced every version, that would use up the gossip budget for a minute.
 func (c *cluster) announceConfig(version uint64, digest string) {
 	if item, ok := c.gossip.Get(configKey); ok {
-		if known, _, _ := decodeConfig(item.Value); known >= version {
+		if announced, _, _ := decodeConfig(item.Value); announced >= version {
 			return
 		}
 	}
@@ -163,7 +164,7 @@
 	c.gossip.Set(configKey, value, 0, true)
 }
 
-// decodeConfig returns the version, its digest and the node that announced it; 0 stands for a malformed value.
+// decodeConfig returns the announced version, its digest and the announcing node. Version 0 means a malformed value.
 func decodeConfig(value []byte) (version uint64, digest, node string) {
 	if len(value) < versionBytes+digestChars {
 		return 0, "", ""
@@ -172,26 +173,26 @@
 	return binary.BigEndian.Uint64(value), rest[:digestChars], rest[digestChars:]
 }
 
-// watchConfig calls offer for each version that a node announces.
-func (c *cluster) watchConfig(offer func(version uint64, digest, node string)) {
+// watchConfig calls handle for each announced version.
+func (c *cluster) watchConfig(handle func(version uint64, digest, node string)) {
 	c.gossip.Watch(configKey, func(item *pb.GossipItem) {
 		if version, digest, node := decodeConfig(item.Value); version > 0 {
-			offer(version, digest, node)
+			handle(version, digest, node)
 		}
 	})
 }
 
-// publish sets an item of this node to a message.
+// publish sets a gossip item of this node to an encoded message.
 func (c *cluster) publish(key string, message proto.Message, ttl time.Duration, urgent bool) {
 	value, err := proto.Marshal(message)
 	if err != nil {
-		c.log.WithError(err).WithField("key", key).Error("gossip item cannot be encoded")
+		c.log.WithError(err).WithField("key", key).Error("could not encode gossip item")
 		return
 	}
 	c.gossip.Set(key, value, ttl, urgent)
 }
 
-// keyvalLogger gives packages that log key-value pairs the node's logger.
+// keyvalLogger adapts the node's logger to packages that log key-value pairs.
 type keyvalLogger struct{ log *logrus.Entry }
 
 // Log implements configstore.Logger.
--- a/internal/node/debug.go
+++ b/internal/node/debug.go
@@ -6,7 +6,7 @@
 	"net/http/pprof"
 )
 
-// serveProfiles serves Go profiles on the loopback address of the settings until ctx ends.
+// serveProfiles serves pprof profiles at the settings' debug_addr, a loopback address, until ctx ends.
 func (n *Node) serveProfiles(ctx context.Context) {
 	addr := n.opts.Settings.DebugAddr
 	if addr == "" {
@@ -20,6 +20,6 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.ListenAndServe(); err != nil && ctx.Err() == nil {
-		n.log.WithError(err).Warn("profiles cannot be served")
+		n.log.WithError(err).Warn("could not serve pprof profiles")
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// handoverInterval spaces the handovers of a leaving node, so that the new homes are not flooded. It moves 100
-	// responses a second.
+	// handoverInterval limits a leaving node to 100 handovers per second, so that the new home nodes are not
+	// overloaded.
 	handoverInterval = 10 * time.Millisecond
-	// exitMargin is kept before the end of a notice for the last steps.
+	// exitMargin is the part of the notice period that is reserved for the last steps before exit.
 	exitMargin = time.Second
-	// leaveSpread is how long a leaving node goes on to answer after it has announced that it leaves, so that callers who
-	// have just read its address are sent on and not refused.
-	leaveSpread = 2 * time.Second
-	// copyTimeout bounds the last messages of a leaving node; it is less than exitMargin.
-	copyTimeout = 500 * time.Millisecond
-	drainPoll   = 20 * time.Millisecond
+	// redirectPeriod is how long a leaving node without open work still accepts connections, so that callers that have
+	// just got its address are redirected instead of failing to connect.
+	redirectPeriod = 2 * time.Second
+	// finalCopyTimeout bounds the sending of response copies before exit; it is less than exitMargin.
+	finalCopyTimeout  = 500 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Drain takes the node out of service. Without a deadline it waits until the last request is done. With one, it hands
-// the responses that will not finish in time to other nodes, from the first second on, because processes die
-// before their notice ends. It returns when nothing is left or the deadline is near.
+// Drain takes the node out of service. With a zero deadline it waits until the last request is done. Otherwise it hands
+// over the responses that will not finish in time to other nodes. It starts at once, because processes may die before
+// their notice period ends. It returns when no work is left or exitMargin before the deadline.
 func (n *Node) Drain(ctx context.Context, deadline time.Time) {
 	if !n.leaving.CompareAndSwap(false, true) {
 		<-n.drained
 		return
 	}
 	defer close(n.drained)
-	n.log.WithField("deadline", deadline).Info("node leaves: no new work, open requests go on")
+	n.log.WithField("deadline", deadline).Info("node draining: no new requests are accepted, open ones continue")
 	n.cluster.view.Leave()
 	if !deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -41,31 +41,32 @@
 	}
 	n.finishWork(ctx, deadline)
 	if err := n.claims.Drain(ctx); err != nil {
-		n.log.WithError(err).Warn("non-repeatable calls are not all recorded; resends get ran:unknown")
+		n.log.WithError(err).Warn("outcomes of some non-repeatable calls were not recorded; resent calls get ran:unknown")
 	}
-	clock.Sleep(ctx, leaveSpread)
+	clock.Sleep(ctx, redirectPeriod)
 	n.finishWork(ctx, deadline)
-	last, cancel := context.WithTimeout(context.Background(), copyTimeout)
+	finalCtx, cancel := context.WithTimeout(context.Background(), finalCopyTimeout)
 	defer cancel()
-	n.replicator.PassOnCopies(last)
-	n.log.WithField("open_requests", n.openRequests.Load()).Info("node has drained")
+	n.replicator.PassOnCopies(finalCtx)
+	n.log.WithField("open_requests", n.openRequests.Load()).Info("node drained")
 }
 
-// finishWork returns when no request is open and no response runs, or ctx ends. With a deadline it hands over what
-// will not finish in time, again and again: a caller whose home node has died may make this node take over a response
-// that it has the copy of.
+// finishWork returns when no request is open and no response runs, or when ctx ends. With a deadline it repeatedly
+// hands over what will not finish in time: a caller of a dead home node may meanwhile make this node take over a
+// response of which it holds the copy.
 func (n *Node) finishWork(ctx context.Context, deadline time.Time) {
 	for (n.runner.Running() > 0 || n.openRequests.Load() > 0) && ctx.Err() == nil {
 		if !deadline.IsZero() {
-			n.handOver(ctx, deadline)
+			n.handOverResponses(ctx, deadline)
 		}
-		clock.Sleep(ctx, drainPoll)
+		clock.Sleep(ctx, drainPollInterval)
 	}
 }
 
-// handOver gives the responses that run past the deadline to other nodes. They do not wait for each other: a node that
-// has died without being known dead delays each by its timeout, and together they would use up the notice.
-func (n *Node) handOver(ctx context.Context, deadline time.Time) {
+// handOverResponses hands over the responses that run past the deadline to other nodes. Handovers run concurrently:
+// each one to a dead node that is not yet known to be dead takes a full timeout, and one after the other they would use
+// up the notice period.
+func (n *Node) handOverResponses(ctx context.Context, deadline time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	n.logs.Each(func(log *stream.Log) {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -14,10 +14,10 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// leavePoll is how often the fleet loop asks whether the node leaves.
-const leavePoll = 250 * time.Millisecond
+// leavePollInterval is how often runFleet checks whether the node is leaving.
+const leavePollInterval = 250 * time.Millisecond
 
-// newFleet builds the fleet loop.
+// newFleet returns the fleet loop, which starts and stops backend servers while this node holds the lease.
 func (n *Node) newFleet() *fleetholder.Fleet {
 	p := n.opts.Platform
 	domains := &knownDomains{regions: map[string]string{}}
@@ -28,7 +28,7 @@
 		Instances: p.Instances,
 		Weights:   p.Weights,
 		Order:     n.opts.Engine.Order,
-		Load:      n.loadNow,
+		Load:      n.queryLoad,
 		Config:    n.Config,
 		Servers:   n.fleetServers,
 		Domains:   func() []fleet.Domain { return domains.list(n) },
@@ -39,28 +39,29 @@
 	})
 }
 
-// runFleet runs the fleet loop until ctx ends or the node leaves, so that another node takes the lease at once.
+// runFleet runs the fleet loop until ctx ends or the node is leaving, so that another node can take the lease at once.
 func (n *Node) runFleet(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		defer cancel()
 		for ctx.Err() == nil && !n.Leaving() {
-			clock.Sleep(ctx, leavePoll)
+			clock.Sleep(ctx, leavePollInterval)
 		}
 	}()
 	n.fleet.Run(ctx)
 }
 
-// loadNow asks a backend server for its load.
-func (n *Node) loadNow(ctx context.Context, instance platform.Instance) (backend.Load, error) {
+// queryLoad queries a backend server for its load.
+func (n *Node) queryLoad(ctx context.Context, instance platform.Instance) (backend.Load, error) {
 	if instance.Kind == platform.PlainService {
 		return n.opts.Service.Load(ctx, instance.Addr)
 	}
 	return n.opts.Engine.Load(ctx, instance.Addr)
 }
 
-// fleetServers returns the backend servers with their loads. A load without a start time says nothing of the models.
+// fleetServers returns the backend servers with their loads. Known is set only for loads with a start time; without
+// one, the loaded models are not known.
 func (n *Node) fleetServers() []fleetholder.Server {
 	list := n.tracker.List()
 	out := make([]fleetholder.Server, 0, len(list))
@@ -76,17 +77,18 @@
 	return out
 }
 
-// countDemand counts a request for a model; adapters count for their model.
-func (n *Node) countDemand(name string, maxTokens uint32) (answered func(tokens uint32)) {
+// countDemand counts a request towards the demand for its model; one for an adapter counts towards its base model. The
+// returned function records the length of the response in tokens.
+func (n *Node) countDemand(modelName string, maxTokens uint32) (recordTokens func(tokens uint32)) {
 	if index := n.Config(); index != nil {
-		if model, ok := index.Model(name); ok {
-			return n.modelDemand.request(model.Name, maxTokens)
+		if model, ok := index.Model(modelName); ok {
+			return n.modelDemand.countRequest(model.Name, maxTokens)
 		}
 	}
 	return func(uint32) {}
 }
 
-// knownDomains remembers the failure domains and their regions, also of one whose last instance is lost.
+// knownDomains keeps the failure domains and their regions, including domains whose last instance is gone.
 type knownDomains struct {
 	mu      sync.Mutex
 	regions map[string]string
--- a/internal/node/folder.go
+++ b/internal/node/folder.go
@@ -12,41 +12,41 @@
 
 const (
 	folderFaultKey = "folder/faults"
-	// folderFaultInterval is how often a reader of the folder looks for new faults to tell.
+	// folderFaultInterval is how often a node that reads the folder checks for new faults to publish.
 	folderFaultInterval = time.Second
-	// maxFolderFaults bounds the faults that are told to other nodes; one gossip item fits into a packet.
+	// maxFolderFaults bounds the faults that are published, so that the gossip item fits into one packet.
 	maxFolderFaults = 8
 )
 
-// folderFaults are the reasons why the newest folder revision is not in force. Only the nodes that read the folder
-// find them; they tell the others, so that an operator sees them on every node.
+// folderFaults holds the validation errors because of which the newest folder revision is not in force. Only the nodes
+// that read the folder find them; they publish them so that operators see them in the status of every node.
 type folderFaults struct {
 	Revision uint64         `json:"revision"`
 	Faults   []config.Fault `json:"faults"`
 }
 
-// shareFolderFaults gossips the faults of the folder while this node reads it.
-func (n *Node) shareFolderFaults(ctx context.Context) {
-	var told uint64
+// publishFolderFaults publishes the faults of the folder by gossip while this node reads it.
+func (n *Node) publishFolderFaults(ctx context.Context) {
+	var published uint64
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, folderFaultInterval)
 		status := n.config.Status()
-		if !n.cluster.readsFolder() || status.FaultRevision <= told {
+		if !n.cluster.readsFolder() || status.FaultRevision <= published {
 			continue
 		}
-		told = status.FaultRevision
+		published = status.FaultRevision
 		faults := folderFaults{status.FaultRevision, status.Faults[:min(len(status.Faults), maxFolderFaults)]}
 		value, err := json.Marshal(faults)
 		if err != nil {
-			n.log.WithError(err).Error("folder faults cannot be encoded")
+			n.log.WithError(err).Error("could not encode folder faults")
 			continue
 		}
 		n.cluster.gossip.Set(folderFaultKey, value, 0, true)
 	}
 }
 
-// heardFolderFaults keeps the faults of the newest revision.
-func (n *Node) heardFolderFaults(item *pb.GossipItem) {
+// handleFolderFaults keeps the received faults if they are of a newer revision than the known ones.
+func (n *Node) handleFolderFaults(item *pb.GossipItem) {
 	var faults folderFaults
 	if json.Unmarshal(item.Value, &faults) != nil {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// openFolderFaults returns the faults of a revision that is newer than the one in force.
-func (n *Node) openFolderFaults() *folderFaults {
+// currentFolderFaults returns the known faults if their revision is newer than the one in force, and nil otherwise.
+func (n *Node) currentFolderFaults() *folderFaults {
 	faults := n.folderFaults.Load()
 	if faults == nil {
 		return nil
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	// budgetPoll is how often an accepted response asks again for a retry.
-	budgetPoll = 20 * time.Millisecond
-	// budgetPatience is how long the retry of an accepted response waits for budget. It then goes ahead: the
-	// response was accepted, and the wait has spread the retries of a wave.
-	budgetPatience = 500 * time.Millisecond
+	// budgetPollInterval is how often an accepted response that waits for a retry checks the budget.
+	budgetPollInterval = 20 * time.Millisecond
+	// budgetWaitTimeout is how long the retry of an accepted response waits for budget. After that it proceeds without
+	// budget: the response was accepted, and the wait has spread out the retries of a burst.
+	budgetWaitTimeout = 500 * time.Millisecond
 
 	strikeKeyPrefix = "strike/"
-	// strikeTTL is how long strikes are kept without a change.
+	// strikeTTL is how long a gossiped strike is kept without a change.
 	strikeTTL = time.Hour
-	// strikeTick is how often crashes are decided on and changes are told to other nodes.
-	strikeTick = 250 * time.Millisecond
-	// crashProbes is how often a server whose connection broke is asked whether it lives, crashProbeWait the wait
-	// between two questions. The server may still be about to go down when the connection breaks.
-	crashProbes    = 3
-	crashProbeWait = 100 * time.Millisecond
-	crashTimeout   = 500 * time.Millisecond
+	// strikeInterval is how often pending crashes are decided on and changes are published to other nodes.
+	strikeInterval = 250 * time.Millisecond
+	// crashProbes is how many times a server whose connection broke is probed, crashProbeInterval the wait between two
+	// probes. One probe is not enough: the server may still respond for a moment after the connection breaks.
+	crashProbes        = 3
+	crashProbeInterval = 100 * time.Millisecond
+	crashProbeTimeout  = 500 * time.Millisecond
 )
 
-// guard keeps failures from spreading: it holds the retry budget and the strikes of requests that crash servers.
+// guard limits the spread of failures: it holds the retry budget and the strikes of requests that crash servers.
 type guard struct {
 	budget  *limit.Budget
 	strikes *strike.Tracker
 	cluster *cluster
 	metrics *metrics.Set
-	// load asks a server for its load; hasNotice tells whether an instance is reclaimed; startedAt returns the last
-	// known start time of a server in Unix milliseconds.
-	load      func(ctx context.Context, server *route.Server) (backend.Load, error)
+	// queryLoad queries a server for its load. hasNotice reports whether a server leaves or has left after a reclaim
+	// notice. startedAt returns the last known start time of a server in Unix milliseconds.
+	queryLoad func(ctx context.Context, server *route.Server) (backend.Load, error)
 	hasNotice func(server string) bool
 	startedAt func(server string) int64
 
@@ -63,7 +63,7 @@
 		metrics: m,
 		probing: map[string]bool{},
 	}
-	c.gossip.Watch(strikeKeyPrefix, g.heard)
+	c.gossip.Watch(strikeKeyPrefix, g.handleStrike)
 	return g
 }
 
@@ -72,16 +72,16 @@
 // Request counts a first attempt, which adds to the retry budget.
 func (g *guard) Request() { g.budget.Request() }
 
-// Take implements dispatch.Budget.
-func (g *guard) Take() bool { return g.budget.Withdraw() }
+// Withdraw implements dispatch.Budget.
+func (g *guard) Withdraw() bool { return g.budget.Withdraw() }
 
 // Wait implements generate.Budget.
 func (g *guard) Wait(ctx context.Context) error {
-	patience, cancel := context.WithTimeout(ctx, budgetPatience)
+	waitCtx, cancel := context.WithTimeout(ctx, budgetWaitTimeout)
 	defer cancel()
 	for !g.budget.Withdraw() {
-		clock.Sleep(patience, budgetPoll)
-		if patience.Err() != nil {
+		clock.Sleep(waitCtx, budgetPollInterval)
+		if waitCtx.Err() != nil {
 			g.metrics.Retry("over_budget")
 			break
 		}
@@ -94,7 +94,7 @@
 	return g.strikes.State(digest, time.Now())
 }
 
-// Begin implements generate.Strikes. When the run's connection breaks, the server is asked whether it still lives.
+// Begin implements generate.Strikes. If the connection breaks during the run, the server is probed for a crash.
 func (g *guard) Begin(server *route.Server, digest string) (func(strike.Outcome), bool) {
 	run, ok := g.strikes.Began(server.ID, digest, time.Now())
 	if !ok {
@@ -109,7 +109,7 @@
 	}, true
 }
 
-// probe reports a crash when the server refuses connections or has started anew. One probe per server runs at a time.
+// probe reports a crash if the server does not respond or has restarted. A server is probed only once at a time.
 func (g *guard) probe(server *route.Server, started int64) {
 	g.mu.Lock()
 	busy := g.probing[server.ID]
@@ -124,21 +124,22 @@
 		delete(g.probing, server.ID)
 	}()
 	for range crashProbes {
-		ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
-		load, err := g.load(ctx, server)
+		ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
+		load, err := g.queryLoad(ctx, server)
 		timedOut := ctx.Err() != nil
 		cancel()
 		restarted := err == nil && started != 0 && load.StartedUnixMillis != started
 		if err != nil || restarted {
-			g.crashed(server, started, err != nil && timedOut)
+			g.reportCrash(server, started, err != nil && timedOut)
 			return
 		}
-		clock.Sleep(context.Background(), crashProbeWait)
+		clock.Sleep(context.Background(), crashProbeInterval)
 	}
 }
 
-// crashed reports a crash. A server that does not answer at all may be cut off, which is no sign of a crash.
-func (g *guard) crashed(server *route.Server, started int64, unreachable bool) {
+// reportCrash adds a crash to the strikes. An unreachable server, whose probe has timed out, may only be cut off from
+// the network, so that alone is no sign of a crash.
+func (g *guard) reportCrash(server *route.Server, started int64, unreachable bool) {
 	g.metrics.Count("server_crashes", "server", server.ID, 1)
 	g.strikes.Crashed(strike.Crash{
 		Server:      server.ID,
@@ -150,10 +151,10 @@
 	g.publish()
 }
 
-// run decides on crashes and tells other nodes of strikes until ctx ends.
+// run decides on pending crashes and publishes strikes to the other nodes until ctx ends.
 func (g *guard) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, strikeTick)
+		clock.Sleep(ctx, strikeInterval)
 		g.strikes.Tick(time.Now())
 		g.publish()
 	}
@@ -166,7 +167,7 @@
 	}
 }
 
-func (g *guard) heard(item *pb.GossipItem) {
+func (g *guard) handleStrike(item *pb.GossipItem) {
 	var message pb.Strike
 	if proto.Unmarshal(item.Value, &message) != nil {
 		return
@@ -175,11 +176,11 @@
 	g.strikes.Merge(strings.TrimPrefix(item.Key, strikeKeyPrefix), record, time.Now())
 }
 
-// status lists the digests of quarantined requests.
-func (g *guard) status() []string { return g.strikes.Quarantines(time.Now()) }
+// quarantines returns the digests of quarantined requests.
+func (g *guard) quarantines() []string { return g.strikes.Quarantines(time.Now()) }
 
-// loadOf returns a function that asks a backend server of either kind for its load.
-func loadOf(engine backend.Engine, service backend.Service, instance func(string) (platform.Instance, bool)) func(context.Context, *route.Server) (backend.Load, error) {
+// newLoadQuery returns a function that queries a backend server of either kind for its load.
+func newLoadQuery(engine backend.Engine, service backend.Service, instance func(string) (platform.Instance, bool)) func(context.Context, *route.Server) (backend.Load, error) {
 	return func(ctx context.Context, server *route.Server) (backend.Load, error) {
 		if i, ok := instance(server.ID); ok && i.Kind == platform.PlainService {
 			return service.Load(ctx, server.Addr)
@@ -188,5 +189,5 @@
 	}
 }
 
-// errNoInstance means that a server is not in the instance list any more.
+// errNoInstance means that a server is no longer in the instance list.
 var errNoInstance = errors.New("node: no such instance")
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -20,50 +20,51 @@
 )
 
 const (
-	workerPrefix = "worker/"
-	// routerInterval is how often the router gets the loads that other nodes have observed.
+	workerKeyPrefix = "worker/"
+	// routerInterval is how often the router is given the loads that other nodes have observed.
 	routerInterval = 250 * time.Millisecond
-	// directPolls is the number of nodes times servers up to which busy nodes poll every server: 8 nodes before 24
-	// servers make 16 polls a second of each server.
-	directPolls = 256
-	// directParallel bounds the polls that are open at a time.
-	directParallel = 16
-	// exactAge is how long an exact load is preferred to the quantized one that the load view keeps of it.
-	exactAge = 2 * loadview.PollPeriod
-	// cacheTimeout bounds one read of a server's cache events.
-	cacheTimeout = 500 * time.Millisecond
+	// maxDirectPolls is the product of nodes and servers up to which a node with open requests polls every engine
+	// itself. With 8 nodes and 24 servers, each server is polled 16 times per second.
+	maxDirectPolls = 256
+	// maxParallelPolls bounds the number of concurrent direct polls.
+	maxParallelPolls = 16
+	// maxExactLoadAge is how long an exact load is preferred to the quantized load in the load view.
+	maxExactLoadAge = 2 * loadview.PollPeriod
+	// pollTimeout bounds one direct poll of a server's load and one read of its cache events.
+	pollTimeout = 500 * time.Millisecond
 )
 
-// loads knows the load of the backend servers: it polls those that this node observes and hears of the others.
+// loads tracks the load of the backend servers: it polls those that this node observes, and receives the loads of the
+// others from their observers.
 type loads struct {
-	engine   backend.Engine
-	service  backend.Service
-	router   *route.Router
-	cluster  *cluster
-	instance func(string) (platform.Instance, bool)
-	busy     func() bool // the node has open requests
-	polledAt time.Time   // when the servers of other observers were polled; only run uses it
-	renew    func()      // makes the router's list of servers be renewed
-	view     *loadview.Runner
+	engine          backend.Engine
+	service         backend.Service
+	router          *route.Router
+	cluster         *cluster
+	instance        func(string) (platform.Instance, bool)
+	hasOpenRequests func() bool
+	othersPolledAt  time.Time // last direct poll of the servers that other nodes observe; only run uses it
+	renewServers    func()    // updates the router's list of servers soon
+	view            *loadview.Runner
 
-	mu      sync.Mutex
-	workers map[string]*pb.WorkerState // by server
-	own     map[string]servers.Load    // exact loads of the servers that this node polls
-	events  map[string]uint64          // last cache event by server
+	mu             sync.Mutex
+	workerStates   map[string]*pb.WorkerState // by server
+	polledLoads    map[string]servers.Load    // exact loads of the servers that this node polls
+	lastCacheEvent map[string]uint64          // sequence number by server
 }
 
 func newLoads(n *Node) *loads {
 	l := &loads{
-		engine:   n.opts.Engine,
-		service:  n.opts.Service,
-		router:   n.router,
-		cluster:  n.cluster,
-		instance: func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
-		busy:     func() bool { return n.openRequests.Load() > 0 },
-		renew:    func() { n.tracker.Renew() },
-		workers:  map[string]*pb.WorkerState{},
-		own:      map[string]servers.Load{},
-		events:   map[string]uint64{},
+		engine:          n.opts.Engine,
+		service:         n.opts.Service,
+		router:          n.router,
+		cluster:         n.cluster,
+		instance:        func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
+		hasOpenRequests: func() bool { return n.openRequests.Load() > 0 },
+		renewServers:    func() { n.tracker.Renew() },
+		workerStates:    map[string]*pb.WorkerState{},
+		polledLoads:     map[string]servers.Load{},
+		lastCacheEvent:  map[string]uint64{},
 	}
 	core := loadview.NewCore(loadview.Config{
 		Node:          n.opts.Settings.Node,
@@ -71,11 +72,11 @@
 		Rand:          n.random.fork(),
 	}, n.cluster.gossip, n.cluster.view)
 	l.view = loadview.NewRunner(core, n.transport, l.poll)
-	n.cluster.gossip.Watch(workerPrefix, l.heard)
+	n.cluster.gossip.Watch(workerKeyPrefix, l.handleWorkerState)
 	return l
 }
 
-// setServers tells which servers there are.
+// setServers sets the list of backend servers.
 func (l *loads) setServers(list []platform.Instance) {
 	workers := make([]loadview.Worker, 0, len(list))
 	for _, instance := range list {
@@ -90,15 +91,15 @@
 	if !ok {
 		return nil, errNoInstance
 	}
-	ask := l.service.Load
+	query := l.service.Load
 	if instance.Kind == platform.ModelEngine {
-		ask = l.engine.Load
+		query = l.engine.Load
 	}
-	load, err := ask(ctx, instance.Addr)
+	load, err := query(ctx, instance.Addr)
 	if err != nil {
 		return nil, err
 	}
-	l.note(server, load)
+	l.record(server, load)
 	if instance.Kind == platform.ModelEngine {
 		go l.pollCache(instance)
 	}
@@ -113,62 +114,62 @@
 	}, nil
 }
 
-// note keeps the exact load of an observed server and tells the other nodes what changes rarely.
-func (l *loads) note(server string, load backend.Load) {
+// record stores the exact load of a polled server, and publishes its models, adapters and start time when they change.
+func (l *loads) record(server string, load backend.Load) {
 	state := &pb.WorkerState{Models: load.Models, Adapters: load.Adapters, StartedUnixMs: uint64(load.StartedUnixMillis)}
 	now := time.Now()
 	l.mu.Lock()
-	l.own[server] = servers.Load{Load: load, At: now}
-	known := l.workers[server]
+	l.polledLoads[server] = servers.Load{Load: load, At: now}
+	known := l.workerStates[server]
 	l.mu.Unlock()
 	l.router.SetLoad(server, load, now)
 	if known == nil || !proto.Equal(known, state) {
-		// Urgent, because it changes a few times a day only and requests wait for it.
-		l.cluster.publish(workerPrefix+server, state, 0, true)
+		// Urgent, because it changes only a few times a day and requests wait for it.
+		l.cluster.publish(workerKeyPrefix+server, state, 0, true)
 	}
 }
 
-func (l *loads) heard(item *pb.GossipItem) {
+func (l *loads) handleWorkerState(item *pb.GossipItem) {
 	state := &pb.WorkerState{}
 	if proto.Unmarshal(item.Value, state) != nil {
 		return
 	}
 	l.mu.Lock()
-	l.workers[strings.TrimPrefix(item.Key, workerPrefix)] = state
+	l.workerStates[strings.TrimPrefix(item.Key, workerKeyPrefix)] = state
 	l.mu.Unlock()
-	l.renew()
+	l.renewServers()
 }
 
-// knows reports whether the models of at least a part of the servers, in percent, are known. A node that knows few would
-// send requests to servers that have to load the model first.
-func (l *loads) knows(list []platform.Instance, percent int) bool {
+// hasWorkerStates reports whether the loaded models are known for at least the given percentage of the servers. A node
+// that knows few of them would send requests to servers that have to load the model first.
+func (l *loads) hasWorkerStates(list []platform.Instance, percent int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := 0
 	for _, instance := range list {
-		if l.workers[instance.ID] != nil {
+		if l.workerStates[instance.ID] != nil {
 			known++
 		}
 	}
 	return 100*known >= percent*len(list)
 }
 
-// pollCache gives the router the cache events of an observed server.
+// pollCache reads the new cache events of a polled server and passes them to the router.
 func (l *loads) pollCache(instance platform.Instance) {
-	ctx, cancel := context.WithTimeout(context.Background(), cacheTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	l.mu.Lock()
-	after := l.events[instance.ID]
+	after := l.lastCacheEvent[instance.ID]
 	l.mu.Unlock()
 	events, err := l.engine.CacheEvents(ctx, instance.Addr, after)
 	if err != nil || len(events) == 0 {
 		return
 	}
 	l.mu.Lock()
-	fresh := l.events[instance.ID] == after // another poll may have been faster
-	l.events[instance.ID] = events[len(events)-1].Sequence
+	current := l.lastCacheEvent[instance.ID] == after // false if a concurrent poll was faster
+	l.lastCacheEvent[instance.ID] = events[len(events)-1].Sequence
 	l.mu.Unlock()
-	if fresh {
+	if current {
 		l.router.ObserveCache(instance.ID, events)
 	}
 }
@@ -176,25 +177,25 @@
 // get returns the last known load of a server.
 func (l *loads) get(server string) (servers.Load, bool) {
 	now := time.Now()
-	seen, ok := l.view.Get(now, server)
+	quantized, ok := l.view.Get(now, server)
 	l.mu.Lock()
-	state, exact := l.workers[server], l.own[server]
+	state, polled := l.workerStates[server], l.polledLoads[server]
 	l.mu.Unlock()
-	if now.Sub(exact.At) < exactAge {
-		return exact, true
+	if now.Sub(polled.At) < maxExactLoadAge {
+		return polled, true
 	}
 	if !ok && state == nil {
 		return servers.Load{}, false
 	}
 	out := servers.Load{
 		Load: backend.Load{
-			Running:      seen.Running,
-			Waiting:      seen.Waiting,
-			CachePercent: seen.CachePercent,
-			StepMicros:   seen.StepMicros,
+			Running:      quantized.Running,
+			Waiting:      quantized.Waiting,
+			CachePercent: quantized.CachePercent,
+			StepMicros:   quantized.StepMicros,
 		},
-		At:          now.Add(-seen.Age),
-		Unreachable: seen.Unreachable,
+		At:          now.Add(-quantized.Age),
+		Unreachable: quantized.Unreachable,
 	}
 	if state != nil {
 		out.Models, out.Adapters = state.Models, state.Adapters
@@ -203,35 +204,36 @@
 	return out, true
 }
 
-// startedAt returns the last known start time of a server in Unix milliseconds, or 0.
+// startedAt returns the last known start time of a server in Unix milliseconds, or 0 if it is unknown.
 func (l *loads) startedAt(server string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int64(l.workers[server].GetStartedUnixMs())
+	return int64(l.workerStates[server].GetStartedUnixMs())
 }
 
-// pollOthers asks the servers that this node does not observe as well, while it serves requests and the deployment is
-// small enough. Gossiped loads are quantized by half octaves, too coarse to fill a server whose batch is 16 up to the
-// target: at 80% of capacity the first token took 738 ms at p95 with them.
+// pollOthers also polls the engines that this node does not observe, while it has open requests and the deployment is
+// small enough. It reports whether the node polls them directly. Gossiped loads are quantized in steps of half an
+// octave, too coarse to fill a server with a batch size of 16 up to the latency target: with them, the time to first
+// token at 80% of capacity was 738 ms at p95.
 func (l *loads) pollOthers(ctx context.Context, list []platform.Instance, observed []string) bool {
-	if !l.busy() || len(list)*len(l.cluster.live()) > directPolls {
+	if !l.hasOpenRequests() || len(list)*len(l.cluster.live()) > maxDirectPolls {
 		return false
 	}
 	now := time.Now()
-	if now.Sub(l.polledAt) < loadview.PollPeriod {
+	if now.Sub(l.othersPolledAt) < loadview.PollPeriod {
 		return true
 	}
-	l.polledAt = now
+	l.othersPolledAt = now
 	group := errgroup.Group{}
-	group.SetLimit(directParallel)
+	group.SetLimit(maxParallelPolls)
 	for _, instance := range list {
 		if instance.Kind != platform.ModelEngine || slices.Contains(observed, instance.ID) {
 			continue
 		}
 		group.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, cacheTimeout)
+			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
-			_, _ = l.poll(ctx, instance.ID) // a server that does not answer is reported by its observer
+			_, _ = l.poll(ctx, instance.ID) // an unreachable server is reported by its observer
 			return nil
 		})
 	}
@@ -239,7 +241,7 @@
 	return true
 }
 
-// run polls and exchanges loads, and gives the router those that other nodes observe, until ctx ends.
+// run polls and exchanges loads, and passes those that other nodes observe to the router, until ctx ends.
 func (l *loads) run(ctx context.Context, list func() []platform.Instance) {
 	var wg sync.WaitGroup
 	wg.Go(func() { l.view.Run(ctx) })
@@ -249,7 +251,7 @@
 		direct := l.pollOthers(ctx, list(), observed)
 		for _, instance := range list() {
 			if direct || slices.Contains(observed, instance.ID) {
-				continue // note has given the router the exact load
+				continue // record has passed the exact load to the router
 			}
 			if load, ok := l.get(instance.ID); ok {
 				l.router.SetLoad(instance.ID, load.Load, load.At)
--- a/internal/node/modeldemand.go
+++ b/internal/node/modeldemand.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	modelDemandPrefix = "model-demand/"
-	// modelDemandPerNode stretches the interval of the items with the number of nodes: each node hears of five others a
-	// second, 13 bytes for each model that they serve. At 400 nodes an item is the mean of 80 s.
-	modelDemandPerNode = 200 * time.Millisecond
-	minModelInterval   = time.Second
-	// modelDemandLoss is how many lost items a demand outlives.
-	modelDemandLoss = 3
-	// meanTokensWeight is the weight of one answer in the mean length of a model's answers.
+	modelDemandKeyPrefix = "model-demand/"
+	// modelDemandIntervalPerNode makes the publishing interval proportional to the number of nodes, so that each node
+	// receives five items per second, with 13 bytes for each model in demand. At 400 nodes an item is the mean of 80 s.
+	modelDemandIntervalPerNode = 200 * time.Millisecond
+	minModelDemandInterval     = time.Second
+	// modelDemandTTLIntervals is the lifetime of an item in publishing intervals, so that lost items do not end it.
+	modelDemandTTLIntervals = 3
+	// meanTokensWeight is the weight of one response in the moving average of a model's response length.
 	meanTokensWeight = 0.02
 )
 
-// modelDemand counts what callers ask of each model. A request counts with the mean length of the model's answers when
-// it arrives, also if it is refused later: the demand decides on the servers, not what the present ones can serve.
+// modelDemand counts the demand of callers for each model. A request counts on arrival, with the mean length of the
+// model's responses, even if it is refused later: the number of servers must follow the demand, not what the present
+// servers can handle.
 type modelDemand struct {
-	mu       sync.Mutex
-	arrived  map[string]fleet.Demand // since the last item; sums
-	own      map[string]fleet.Demand // of the last interval
-	meanSize map[string]float64
-	peers    map[string]peerDemand
+	mu         sync.Mutex
+	counted    map[string]fleet.Demand // totals of the current interval, not rates
+	ownRates   map[string]fleet.Demand // rates in the last interval
+	meanTokens map[string]float64      // mean response length by model
+	peers      map[string]peerDemand
 }
 
 type peerDemand struct {
@@ -44,60 +45,60 @@
 
 func newModelDemand() *modelDemand {
 	return &modelDemand{
-		arrived:  map[string]fleet.Demand{},
-		own:      map[string]fleet.Demand{},
-		meanSize: map[string]float64{},
-		peers:    map[string]peerDemand{},
+		counted:    map[string]fleet.Demand{},
+		ownRates:   map[string]fleet.Demand{},
+		meanTokens: map[string]float64{},
+		peers:      map[string]peerDemand{},
 	}
 }
 
-// request counts a request for a model and returns the function that takes the length of its answer.
-func (d *modelDemand) request(model string, maxTokens uint32) (answered func(tokens uint32)) {
+// countRequest counts a request for a model and returns the function that records the length of its response.
+func (d *modelDemand) countRequest(model string, maxTokens uint32) (recordTokens func(tokens uint32)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	size, known := d.meanSize[model]
+	expectedTokens, known := d.meanTokens[model]
 	if !known {
-		size = float64(maxTokens)
+		expectedTokens = float64(maxTokens)
 	}
-	sum := d.arrived[model]
-	d.arrived[model] = fleet.Demand{TokensPerSecond: sum.TokensPerSecond + size, RequestsPerSecond: sum.RequestsPerSecond + 1}
-	return func(tokens uint32) { d.answered(model, tokens) }
+	sum := d.counted[model]
+	d.counted[model] = fleet.Demand{TokensPerSecond: sum.TokensPerSecond + expectedTokens, RequestsPerSecond: sum.RequestsPerSecond + 1}
+	return func(tokens uint32) { d.recordTokens(model, tokens) }
 }
 
-func (d *modelDemand) answered(model string, tokens uint32) {
+func (d *modelDemand) recordTokens(model string, tokens uint32) {
 	if tokens == 0 {
-		return // it did not run
+		return // the request did not run
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	mean, known := d.meanSize[model]
+	mean, known := d.meanTokens[model]
 	if !known {
 		mean = float64(tokens)
 	}
-	d.meanSize[model] = mean + meanTokensWeight*(float64(tokens)-mean)
+	d.meanTokens[model] = mean + meanTokensWeight*(float64(tokens)-mean)
 }
 
-// cut ends an interval and returns the item for the other nodes, or nil when there is nothing to tell.
-func (d *modelDemand) cut(interval time.Duration) *pb.ModelDemands {
+// endInterval ends an interval and returns the item for the other nodes, or nil if there is nothing to publish.
+func (d *modelDemand) endInterval(interval time.Duration) *pb.ModelDemands {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	tell := len(d.own) > 0 // the end of a demand is told, too
-	d.own = map[string]fleet.Demand{}
+	hadDemand := len(d.ownRates) > 0 // the end of a demand is published, too
+	d.ownRates = map[string]fleet.Demand{}
 	out := &pb.ModelDemands{}
-	for model, sum := range d.arrived {
+	for model, sum := range d.counted {
 		rate := fleet.Demand{
 			TokensPerSecond:   sum.TokensPerSecond / interval.Seconds(),
 			RequestsPerSecond: sum.RequestsPerSecond / interval.Seconds(),
 		}
-		d.own[model] = rate
+		d.ownRates[model] = rate
 		out.Demands = append(out.Demands, &pb.ModelDemand{
 			ModelHash:               modelHash(model),
 			TokensPerSecond:         uint32(rate.TokensPerSecond),
 			RequestsPer_1000Seconds: uint32(rate.RequestsPerSecond * 1000),
 		})
 	}
-	d.arrived = map[string]fleet.Demand{}
-	if !tell && len(out.Demands) == 0 {
+	d.counted = map[string]fleet.Demand{}
+	if !hadDemand && len(out.Demands) == 0 {
 		return nil
 	}
 	return out
@@ -105,13 +106,13 @@
 
 func modelHash(model string) uint32 { return uint32(xxhash.Sum64String(model)) }
 
-func (d *modelDemand) heard(node string, message *pb.ModelDemands, ttl time.Duration) {
+func (d *modelDemand) setPeerDemand(node string, message *pb.ModelDemands, ttl time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peers[node] = peerDemand{message.Demands, time.Now().Add(ttl)}
 }
 
-// total returns the demand on all nodes.
+// total returns the demand on all nodes by model, for the models of the configuration.
 func (d *modelDemand) total(index *config.Index) map[string]fleet.Demand {
 	out := map[string]fleet.Demand{}
 	if index == nil {
@@ -127,7 +128,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for model, rate := range d.own {
+	for model, rate := range d.ownRates {
 		add(model, rate.TokensPerSecond, rate.RequestsPerSecond)
 	}
 	now := time.Now()
@@ -145,22 +146,22 @@
 	return out
 }
 
-// exchangeModelDemand tells the other nodes the demand per model on this node, and takes theirs, until ctx ends.
+// exchangeModelDemand publishes this node's demand per model to the other nodes, and receives theirs, until ctx ends.
 func (n *Node) exchangeModelDemand(ctx context.Context) {
 	self := n.opts.Settings.Node
-	n.cluster.gossip.Watch(modelDemandPrefix, func(item *pb.GossipItem) {
+	n.cluster.gossip.Watch(modelDemandKeyPrefix, func(item *pb.GossipItem) {
 		message := &pb.ModelDemands{}
-		node := strings.TrimPrefix(item.Key, modelDemandPrefix)
+		node := strings.TrimPrefix(item.Key, modelDemandKeyPrefix)
 		if node != self && proto.Unmarshal(item.Value, message) == nil {
-			n.modelDemand.heard(node, message, time.Duration(item.TtlMs)*time.Millisecond)
+			n.modelDemand.setPeerDemand(node, message, time.Duration(item.TtlMs)*time.Millisecond)
 		}
 	})
 	for ctx.Err() == nil {
-		interval := max(minModelInterval, time.Duration(len(n.cluster.live()))*modelDemandPerNode)
-		begun := time.Now()
+		interval := max(minModelDemandInterval, time.Duration(len(n.cluster.live()))*modelDemandIntervalPerNode)
+		began := time.Now()
 		clock.Sleep(ctx, interval)
-		if item := n.modelDemand.cut(time.Since(begun)); item != nil {
-			n.cluster.publish(modelDemandPrefix+self, item, modelDemandLoss*interval, false)
+		if item := n.modelDemand.endInterval(time.Since(began)); item != nil {
+			n.cluster.publish(modelDemandKeyPrefix+self, item, modelDemandTTLIntervals*interval, false)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,10 +1,11 @@
-// Package node builds an entry node from its parts and runs it.
+// Package node assembles an entry node from its components and runs it.
 //
 // # Lifecycle
 //
-// A node joins by asking the instance list and other nodes, takes the configuration in force from them, and listens for
-// callers from the start: until it has a configuration it refuses them with a code. On SIGTERM or a reclaim notice it
-// announces that it leaves, sends new callers to other nodes, finishes or hands over what it has and exits.
+// A node finds the other nodes through the instance list, joins their membership and fetches the configuration in
+// force. It listens for callers from the start; until it has a configuration, it refuses requests with a result code.
+// On SIGTERM or a reclaim notice it announces that it is leaving, redirects new requests to other nodes, finishes or
+// hands over the open ones, and exits.
 package node
 
 import (
@@ -41,29 +42,30 @@
 	"github.com/pollenlug/pollenlug/pkg/stream"
 )
 
-// Limits of the HTTP server towards callers, where the settings leave them open.
+// Limits of the HTTP server for callers. The default ones apply where the settings have no value.
 const (
 	defaultMaxHeaderBytes = 32 << 10
 	defaultHeaderTimeout  = 5 * time.Second
 	idleTimeout           = 2 * time.Minute
 	bytesPerKiB           = 1024
-	// expireInterval is how often old responses are dropped.
-	expireInterval = 10 * time.Second
-	// purgeInterval and purgeRows bound what the deletion of old claims costs the table service: 0.2 reads a second.
-	purgeInterval = 5 * time.Second
-	purgeRows     = 256
-	// defaultMaxOpen bounds the open requests of a node; each stream takes about 32 KiB.
-	defaultMaxOpen = 20_000
-	// storeTimeout bounds the wait for a claim. Callers are to be refused within 250 ms while the store is down; the rest
-	// is for the path to them.
-	storeTimeout = 200 * time.Millisecond
-	// maxEjectedPercent bounds the servers of a group that are passed over because they fail.
+	// responseExpiryInterval is how often expired responses are deleted.
+	responseExpiryInterval = 10 * time.Second
+	// claimPurgeInterval and claimPurgeRows bound the load that deleting old claims puts on the table service: 0.2
+	// reads per second.
+	claimPurgeInterval = 5 * time.Second
+	claimPurgeRows     = 256
+	// defaultMaxOpenRequests bounds the open requests of a node; each stream takes about 32 KiB.
+	defaultMaxOpenRequests = 20_000
+	// claimStoreTimeout bounds the wait for a claim. While the store is down, callers must be refused within 250 ms;
+	// the other 50 ms are for the way back to the caller.
+	claimStoreTimeout = 200 * time.Millisecond
+	// maxEjectedPercent bounds the share of a group's servers that get no requests because they fail.
 	maxEjectedPercent = 30
-	// shutdownTimeout bounds the last step of an exit.
+	// shutdownTimeout bounds the shutdown of the HTTP server after the drain.
 	shutdownTimeout = 2 * time.Second
 )
 
-// Platform are the interfaces of the platform.
+// Platform holds the clients of the platform's services.
 type Platform struct {
 	Table     platform.Table
 	Objects   platform.Objects
@@ -75,15 +77,15 @@
 
 // Transport carries messages between nodes; *transport.Transport implements it.
 type Transport interface {
-	// Send sends a message without an answer; it may get lost.
+	// Send sends a one-way message, which may be lost.
 	Send(addr string, env *pb.Envelope)
-	// Request returns the answer of the node at addr.
+	// Request sends a message and returns the reply of the node at addr.
 	Request(ctx context.Context, addr string, env *pb.Envelope) (*pb.Envelope, error)
 	SetHandler(h func(ctx context.Context, from string, env *pb.Envelope) (*pb.Envelope, error))
 	Close() error
 }
 
-// Options are what a node is built from.
+// Options are the settings and dependencies of a Node.
 type Options struct {
 	Settings    *pb.NodeSettings
 	Platform    Platform
@@ -91,17 +93,17 @@
 	Engine      backend.Engine
 	Service     backend.Service
 	Log         *logrus.Entry
-	// Transport replaces QUIC between nodes; nil means QUIC at the settings' node_addr with the Credentials.
+	// Transport carries messages between nodes; nil means QUIC at the settings' node_addr with the Credentials.
 	Transport Transport
 	// Listen opens the listener for callers; nil means TCP.
 	Listen func(addr string) (net.Listener, error)
-	// Seed fixes the random choices, for tests; 0 means different ones in each process.
+	// Seed makes random choices reproducible, for tests; 0 means a random seed.
 	Seed uint64
-	// RestartStreams starts interrupted responses again from their first token, as the baseline of measurements.
+	// RestartStreams restarts interrupted responses from their first token; benchmarks use it as the baseline.
 	RestartStreams bool
 }
 
-// Node is one entry node.
+// Node is an entry node.
 type Node struct {
 	opts    Options
 	log     *logrus.Entry
@@ -131,13 +133,13 @@
 	leaving      atomic.Bool
 	drained      chan struct{}
 	openRequests atomic.Int64
-	// reclaimed receives the deadline of a reclaim notice for this node.
+	// reclaimed receives the deadline from a reclaim notice for this node.
 	reclaimed chan time.Time
 	killed    chan struct{}
 	killOnce  sync.Once
 }
 
-// New builds a node. Nothing runs until Run.
+// New returns a node, which does nothing until Run.
 func New(opts Options) (*Node, error) {
 	n := &Node{
 		opts:      opts,
@@ -162,7 +164,7 @@
 		n.transport = n.opts.Transport
 		return nil
 	}
-	quic, err := transport.New(transport.Options{
+	quicTransport, err := transport.New(transport.Options{
 		Node:        n.opts.Settings.Node,
 		Region:      n.opts.Settings.Region,
 		Addr:        n.opts.Settings.NodeAddr,
@@ -172,11 +174,11 @@
 	if err != nil {
 		return merry.Prepend(err, "node_addr")
 	}
-	n.transport = quic
+	n.transport = quicTransport
 	return nil
 }
 
-// build connects the parts.
+// build creates the components and connects them.
 func (n *Node) build() {
 	s, p := n.opts.Settings, n.opts.Platform
 	n.cluster = newCluster(s, n.transport, p.Instances, n.random, n.log)
@@ -211,7 +213,7 @@
 		Config:       n.Config,
 		Load:         n.loads.get,
 		Allow:        n.outliers.Allow,
-		ReadsList:    func() bool { return n.cluster.hasRole(listRole, 1) },
+		ReadsList:    func() bool { return n.cluster.hasRole(instanceListRole, 1) },
 		ReadsNotices: func() bool { return n.cluster.hasRole(noticeRole, noticeReaders) },
 		Gossip:       n.cluster.gossip,
 		Leaving:      n.serverLeaving,
@@ -220,12 +222,12 @@
 		SelfLeaving:  func(deadline time.Time) { n.reclaimed <- deadline },
 		Log:          n.log,
 	})
-	n.guard.load = loadOf(n.opts.Engine, n.opts.Service, n.tracker.Instance)
+	n.guard.queryLoad = newLoadQuery(n.opts.Engine, n.opts.Service, n.tracker.Instance)
 	n.guard.hasNotice = n.tracker.HasNotice
 	n.guard.startedAt = n.loads.startedAt
 	n.config.Watch(n.applyConfig)
-	n.cluster.watchConfig(n.heardConfig)
-	n.cluster.gossip.Watch(folderFaultKey, n.heardFolderFaults)
+	n.cluster.watchConfig(n.handleConfigAnnouncement)
+	n.cluster.gossip.Watch(folderFaultKey, n.handleFolderFaults)
 	n.fleet = n.newFleet()
 	n.server = n.newServer()
 }
@@ -257,7 +259,7 @@
 	})
 }
 
-// progress tells the replicator, which is built after the runner.
+// progress forwards the progress of responses to the replicator, which is built after the runner.
 type progress struct{ node *Node }
 
 // Changed implements generate.Progress.
@@ -282,7 +284,7 @@
 	n.claims = claim.New(claim.Options{
 		Table:        n.opts.Platform.Table,
 		Node:         n.opts.Settings.Node,
-		StoreTimeout: storeTimeout,
+		StoreTimeout: claimStoreTimeout,
 		Jitter:       n.random.float64,
 		Peers:        n.cluster,
 		Outcomes:     n.dispatcher,
@@ -296,7 +298,7 @@
 		Node: n,
 		Responses: &responses{
 			node:         n.opts.Settings.Node,
-			unique:       n.random.unique,
+			uniqueSuffix: n.random.uniqueSuffix,
 			leaving:      n.leaving.Load,
 			strikes:      n.guard,
 			countRequest: n.guard.Request,
@@ -310,24 +312,24 @@
 		Metrics:  n.metrics,
 		Log:      n.log,
 	})
-	out := &http.Server{
-		Handler:           n.countOpen(handler),
+	server := &http.Server{
+		Handler:           n.limitOpenRequests(handler),
 		ReadHeaderTimeout: defaultHeaderTimeout,
 		MaxHeaderBytes:    defaultMaxHeaderBytes,
 		IdleTimeout:       idleTimeout,
 	}
 	if edge.GetHeaderTimeoutMs() > 0 {
-		out.ReadHeaderTimeout = time.Duration(edge.HeaderTimeoutMs) * time.Millisecond
+		server.ReadHeaderTimeout = time.Duration(edge.HeaderTimeoutMs) * time.Millisecond
 	}
 	if edge.GetMaxHeaderKib() > 0 {
-		out.MaxHeaderBytes = int(edge.MaxHeaderKib) * bytesPerKiB
+		server.MaxHeaderBytes = int(edge.MaxHeaderKib) * bytesPerKiB
 	}
-	return out
+	return server
 }
 
-// countOpen counts open requests, for which a drain waits, and refuses those above the limit.
-func (n *Node) countOpen(next http.Handler) http.Handler {
-	limit := int64(defaultMaxOpen)
+// limitOpenRequests refuses requests above the limit of open ones. A drain waits until the count of open requests is 0.
+func (n *Node) limitOpenRequests(next http.Handler) http.Handler {
+	limit := int64(defaultMaxOpenRequests)
 	if set := n.opts.Settings.Edge.GetMaxOpenStreams(); set > 0 {
 		limit = int64(set)
 	}
@@ -349,13 +351,13 @@
 		_ = n.transport.Close()
 		return merry.Prepend(err, "caller_addr")
 	}
-	background, stop := context.WithCancel(context.Background())
+	backgroundCtx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	n.start(background, &wg)
-	failed := make(chan error, 1)
-	go func() { failed <- n.serve(listener) }()
-	n.log.WithField("addr", n.opts.Settings.CallerAddr).Info("node listens; waits for configuration and members")
-	err = n.awaitEnd(ctx, failed)
+	n.start(backgroundCtx, &wg)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- n.serve(listener) }()
+	n.log.WithField("addr", n.opts.Settings.CallerAddr).Info("node listening; waiting for configuration and members")
+	err = n.awaitShutdown(ctx, serveErr)
 	stop()
 	wg.Wait()
 	_ = n.transport.Close()
@@ -369,16 +371,16 @@
 	return net.Listen("tcp", n.opts.Settings.CallerAddr)
 }
 
-// awaitEnd returns after the node has drained, was killed or has failed.
-func (n *Node) awaitEnd(ctx context.Context, failed <-chan error) error {
+// awaitShutdown returns when the node has drained, was killed or could not serve.
+func (n *Node) awaitShutdown(ctx context.Context, serveErr <-chan error) error {
 	var deadline time.Time
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-n.killed:
 		return nil
 	case <-ctx.Done():
-		deadline = n.drainLimit()
+		deadline = n.drainDeadline()
 	case deadline = <-n.reclaimed:
 	}
 	go n.Drain(context.Background(), deadline)
@@ -388,14 +390,14 @@
 		return nil
 	}
 	n.cluster.view.Left()
-	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = n.server.Shutdown(shutdown)
+	_ = n.server.Shutdown(shutdownCtx)
 	return n.server.Close()
 }
 
-// drainLimit returns when a drain must end by the settings; zero means never.
-func (n *Node) drainLimit() time.Time {
+// drainDeadline returns the time by which a drain that starts now must end; zero means no limit.
+func (n *Node) drainDeadline() time.Time {
 	if n.opts.Settings.DrainLimitSeconds == 0 {
 		return time.Time{}
 	}
@@ -415,7 +417,7 @@
 	return err
 }
 
-// start runs the background work.
+// start runs the background tasks until ctx ends.
 func (n *Node) start(ctx context.Context, wg *sync.WaitGroup) {
 	n.cluster.start(ctx, wg)
 	for _, run := range []func(context.Context){
@@ -423,7 +425,7 @@
 		n.tracker.Run,
 		n.replicator.Run,
 		func(ctx context.Context) { n.loads.run(ctx, n.tracker.List) },
-		n.expire,
+		n.expireResponses,
 		n.exchangeDemand,
 		n.exchangeModelDemand,
 		n.runFleet,
@@ -431,36 +433,36 @@
 		n.serveProfiles,
 		n.guard.run,
 		n.purgeClaims,
-		n.shareFolderFaults,
+		n.publishFolderFaults,
 	} {
 		wg.Go(func() { run(ctx) })
 	}
 }
 
-// purgeClaims deletes old rows of non-repeatable calls while this node has that role.
+// purgeClaims deletes the old claim rows of non-repeatable calls while this node holds that role.
 func (n *Node) purgeClaims(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, purgeInterval)
+		clock.Sleep(ctx, claimPurgeInterval)
 		if !n.cluster.hasRole(purgeRole, 1) {
 			continue
 		}
-		if _, err := n.claims.Purge(ctx, purgeRows); err != nil {
-			n.log.WithError(err).Debug("old rows of non-repeatable calls cannot be deleted now")
+		if _, err := n.claims.Purge(ctx, claimPurgeRows); err != nil {
+			n.log.WithError(err).Debug("could not delete old claim rows; will retry")
 		}
 	}
 }
 
-// expire drops old responses.
-func (n *Node) expire(ctx context.Context) {
+// expireResponses deletes the responses that have had no reader and no change for the retention period.
+func (n *Node) expireResponses(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, expireInterval)
+		clock.Sleep(ctx, responseExpiryInterval)
 		if index := n.Config(); index != nil {
 			n.logs.Expire(time.Now(), index.Policy().ResponseRetention)
 		}
 	}
 }
 
-// applyConfig puts a configuration into force on this node.
+// applyConfig applies a new configuration in force to the node's components and announces it.
 func (n *Node) applyConfig(current *configstore.InForce) {
 	policy := current.Index.Policy()
 	n.router.SetTargets(policy.FirstToken, policy.BetweenTokens, policy.RecomputeWeight)
@@ -472,9 +474,9 @@
 	n.log.WithFields(logrus.Fields{"version": current.Version, "digest": current.Digest}).Info("configuration is in force")
 }
 
-// heardConfig takes the announcement of a version. Of two announcements under way the one with the lower version may
-// win; a node with a higher version in force then announces its own again.
-func (n *Node) heardConfig(version uint64, digest, node string) {
+// handleConfigAnnouncement handles a version that another node announces. Of two concurrent announcements, the one with
+// the lower version may win; a node with a higher version in force therefore announces its own again.
+func (n *Node) handleConfigAnnouncement(version uint64, digest, node string) {
 	current := n.config.Current()
 	if current != nil && current.Version > version {
 		go n.cluster.announceConfig(current.Version, current.Digest)
@@ -483,12 +485,12 @@
 	n.config.Offer(context.Background(), version, digest, node)
 }
 
-// serverLeaving moves the responses that run on a server which is to leave.
+// serverLeaving moves the responses that run on a leaving server.
 func (n *Node) serverLeaving(server string, deadline time.Time) {
 	go n.runner.ServerLeaving(context.Background(), server, deadline)
 }
 
-// serversChanged tells the other parts which servers there are.
+// serversChanged updates the list of backend servers in the components that keep state for each.
 func (n *Node) serversChanged(list []platform.Instance) {
 	n.loads.setServers(list)
 	ids := make([]string, 0, len(list))
@@ -501,8 +503,7 @@
 	n.outliers.SetServers(groups)
 }
 
-// Kill stops the node at once, as when its machine is switched off: nothing is handed over, and its runs on backend
-// servers end.
+// Kill stops the node at once, like a power failure: nothing is handed over, and its runs on backend servers end.
 func (n *Node) Kill() {
 	n.killOnce.Do(func() {
 		close(n.killed)
@@ -512,7 +513,7 @@
 	})
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the configuration in force, or nil if there is none yet.
 func (n *Node) Config() *config.Index {
 	if current := n.config.Current(); current != nil {
 		return current.Index
@@ -520,7 +521,7 @@
 	return nil
 }
 
-// handle answers messages of other nodes.
+// handle processes a message from another node and returns the reply.
 func (n *Node) handle(ctx context.Context, from string, env *pb.Envelope) (*pb.Envelope, error) {
 	switch body := env.Body.(type) {
 	case *pb.Envelope_ConfigFetch:
@@ -535,8 +536,8 @@
 		n.loads.view.Receive(from, env)
 		return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{}}}, nil
 	}
-	if answer := n.replicator.Handle(ctx, from, env); answer != nil {
-		return answer, nil
+	if reply := n.replicator.Handle(ctx, from, env); reply != nil {
+		return reply, nil
 	}
 	return n.cluster.handle(ctx, from, env)
 }
--- a/internal/node/random.go
+++ b/internal/node/random.go
@@ -10,11 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// uniqueBytes makes the ids of two responses of one node differ.
+// uniqueBytes is the size of the random part of a response id; it makes collisions on one node improbable.
 const uniqueBytes = 8
 
-// random makes the random choices of a node. With a seed they repeat from run to run, as far as the order of the
-// calls does.
+// random is the random source of a node. With a seed its sequence is reproducible if the order of the calls is.
 type random struct {
 	seeded bool
 
@@ -22,16 +21,17 @@
 	source *rand.Rand
 }
 
-// newRandom returns the choices of a node; seed 0 draws a seed. Nodes with the same seed choose differently.
+// newRandom returns the random source of a node; seed 0 means a random seed. Nodes with the same seed get different
+// sequences.
 func newRandom(seed uint64, node string) *random {
-	first := seed
+	initial := seed
 	if seed == 0 {
-		first = rand.Uint64()
+		initial = rand.Uint64()
 	}
-	return &random{seeded: seed != 0, source: rand.New(rand.NewPCG(first, xxhash.Sum64String(node)))}
+	return &random{seeded: seed != 0, source: rand.New(rand.NewPCG(initial, xxhash.Sum64String(node)))}
 }
 
-// fork returns a source for a part that serializes its own draws.
+// fork returns a separate source, without a lock, for a component that serializes its own use of it.
 func (r *random) fork() *rand.Rand { return rand.New(rand.NewPCG(r.uint64(), r.uint64())) }
 
 func (r *random) uint64() uint64 {
@@ -52,14 +52,14 @@
 	return r.source.Perm(n)
 }
 
-// unique returns the part of a response id that differs for each response of the node. Without a seed it cannot be
-// guessed.
-func (r *random) unique() string {
+// uniqueSuffix returns the part of a response id that differs for each response of the node. Without a seed it cannot
+// be guessed.
+func (r *random) uniqueSuffix() string {
 	var b [uniqueBytes]byte
 	if r.seeded {
 		binary.BigEndian.PutUint64(b[:], r.uint64())
 	} else {
-		_, _ = cryptorand.Read(b[:]) // never fails, see crypto/rand
+		_, _ = cryptorand.Read(b[:]) // never returns an error, see crypto/rand
 	}
 	return hex.EncodeToString(b[:])
 }
--- a/internal/node/responses.go
+++ b/internal/node/responses.go
@@ -14,24 +14,24 @@
 	"github.com/pollenlug/pollenlug/pkg/strike"
 )
 
-// responses accepts requests and finds responses; it implements gateway.Responses.
+// responses starts responses and attaches readers to existing ones; it implements gateway.Responses.
 type responses struct {
-	node    string
-	unique  func() string
-	leaving func() bool
-	strikes generate.Strikes
+	node         string
+	uniqueSuffix func() string
+	leaving      func() bool
+	strikes      generate.Strikes
 	// countRequest adds a first attempt to the retry budget.
 	countRequest func()
-	// countDemand adds a request to the demand for its model.
-	countDemand func(model string, maxTokens uint32) (answered func(tokens uint32))
+	// countDemand adds a request to the demand for its model; recordTokens takes the length of the response.
+	countDemand func(model string, maxTokens uint32) (recordTokens func(tokens uint32))
 	admission   *limit.Admission
 	logs        *stream.Store
 	replicator  *replica.Replicator
 	runner      *generate.Runner
 }
 
-// Start implements gateway.Responses. The order matters: a request that is refused leaves nothing behind, and a
-// request that has a log and a replica is not refused any more.
+// Start implements gateway.Responses. The order of the steps matters: a refused request leaves no state behind, and a
+// request is no longer refused once it has been replicated and runs.
 func (r *responses) Start(ctx context.Context, req gateway.StartRequest) (*gateway.Generation, error) {
 	if r.leaving() {
 		return nil, code.New(code.NodeLeaving, "the entry node is leaving").After(time.Second)
@@ -40,7 +40,7 @@
 		return nil, code.New(code.RequestQuarantined, "this request has crashed two backend servers")
 	}
 	r.countRequest()
-	answered := r.countDemand(req.Request.Model, req.Request.MaxTokens)
+	recordTokens := r.countDemand(req.Request.Model, req.Request.MaxTokens)
 	grant, err := r.admission.Acquire(ctx, limit.Request{
 		Workspace: req.Workspace.Name,
 		Priority:  req.Workspace.Priority,
@@ -53,7 +53,7 @@
 	log := stream.NewLog(r.meta(req), time.Now())
 	release := sync.OnceFunc(func() {
 		grant.Done(log.Len())
-		answered(log.Len())
+		recordTokens(log.Len())
 	})
 	if err := r.accept(ctx, log, release); err != nil {
 		release()
@@ -64,7 +64,7 @@
 
 func (r *responses) meta(req gateway.StartRequest) stream.Meta {
 	return stream.Meta{
-		ID:        replica.NewID(r.node, r.unique()),
+		ID:        replica.NewID(r.node, r.uniqueSuffix()),
 		Workspace: req.Workspace.Name,
 		Home:      r.node,
 		Path:      req.Path,
@@ -94,9 +94,9 @@
 	if err != nil {
 		return nil, err
 	}
-	done := func() {
+	closeReader := func() {
 		release()
 		r.runner.ReaderClosed(log)
 	}
-	return &gateway.Generation{Log: log, Close: done}, nil
+	return &gateway.Generation{Log: log, Close: closeReader}, nil
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -76,13 +76,13 @@
 		State:         n.state(),
 		Waiting:       n.waitingFor(),
 		Config:        n.config.Status(),
-		FolderFaults:  n.openFolderFaults(),
+		FolderFaults:  n.currentFolderFaults(),
 		Members:       n.memberStatus(),
 		Servers:       n.serverStatus(),
 		Responses:     responseStatus{n.runner.Running(), n.logs.Len(), n.openRequests.Load()},
 		Claims:        claimStatus{claims.Open, claims.Background},
 		Limits:        n.admission.Status(),
-		Quarantines:   n.guard.status(),
+		Quarantines:   n.guard.quarantines(),
 		Fleet:         n.fleet.Status(),
 	}
 }
@@ -98,10 +98,10 @@
 	}
 }
 
-// readyPercent is the part of the servers whose models a ready node knows; some may be down.
-const readyPercent = 50
+// readyServerPercent is the percentage of the servers whose models a ready node must know; the others may be down.
+const readyServerPercent = 50
 
-// waitingFor names what a node needs before it is ready.
+// waitingFor lists what the node still needs before it is ready.
 func (n *Node) waitingFor() []string {
 	var out []string
 	if n.Config() == nil {
@@ -111,7 +111,7 @@
 	if len(list) == 0 {
 		out = append(out, "backend servers")
 	}
-	if !n.loads.knows(list, readyPercent) {
+	if !n.loads.hasWorkerStates(list, readyServerPercent) {
 		out = append(out, "states of backend servers")
 	}
 	return out
@@ -128,7 +128,7 @@
 func (n *Node) serverStatus() []serverStatus {
 	var out []serverStatus
 	for _, instance := range n.tracker.List() {
-		line := serverStatus{
+		entry := serverStatus{
 			Server:        instance.ID,
 			BackendGroup:  instance.BackendGroup,
 			FailureDomain: instance.FailureDomain,
@@ -137,10 +137,10 @@
 			LoadAgeMs:     -1,
 		}
 		if load, ok := n.loads.get(instance.ID); ok {
-			line.Running, line.Waiting, line.CachePercent = load.Running, load.Waiting, load.CachePercent
-			line.LoadAgeMs = time.Since(load.At).Milliseconds()
+			entry.Running, entry.Waiting, entry.CachePercent = load.Running, load.Waiting, load.CachePercent
+			entry.LoadAgeMs = time.Since(load.At).Milliseconds()
 		}
-		out = append(out, line)
+		out = append(out, entry)
 	}
 	return out
 }
@@ -151,14 +151,14 @@
 // Ready implements gateway.Node.
 func (n *Node) Ready() bool { return !n.Leaving() && len(n.waitingFor()) == 0 }
 
-// Entries implements gateway.Node. Nodes with about the same load are ordered by the caller's address, so that
-// callers spread instead of all choosing the same node.
+// Entries implements gateway.Node. Nodes with about the same load are ordered by a hash that includes the caller's
+// address, so that callers spread over the nodes instead of all choosing the same one.
 func (n *Node) Entries(caller string) []gateway.Entry {
 	live := slices.DeleteFunc(slices.Clone(n.cluster.live()), func(m membership.Member) bool {
 		return m.Status != pb.MemberState_ALIVE || (m.Node == n.opts.Settings.Node && n.Leaving())
 	})
 	ordered := membership.Rendezvous(caller, live, len(live))
-	slices.SortStableFunc(ordered, func(a, b membership.Member) int { return cmp.Compare(loadClass(a), loadClass(b)) })
+	slices.SortStableFunc(ordered, func(a, b membership.Member) int { return cmp.Compare(loadBucket(a), loadBucket(b)) })
 	out := make([]gateway.Entry, 0, len(ordered))
 	for _, m := range ordered {
 		out = append(out, gateway.Entry{Addr: m.CallerAddr, Region: m.Region, FailureDomain: m.FailureDomain, Load: m.Load})
@@ -166,23 +166,24 @@
 	return out
 }
 
-// loadClassSize is the difference in open requests that is worth sending callers elsewhere.
-const loadClassSize = 64
+// loadBucketSize is the difference in open requests from which callers are directed to a less loaded node.
+const loadBucketSize = 64
 
-func loadClass(m membership.Member) uint32 { return m.Load / loadClassSize }
+func loadBucket(m membership.Member) uint32 { return m.Load / loadBucketSize }
 
-// AwaitReady returns when the node is ready, sees the number of live nodes and knows all servers.
+// AwaitReady returns when the node is ready, sees at least the given number of live nodes and knows the models of all
+// servers. It returns an error when ctx ends first.
 func (n *Node) AwaitReady(ctx context.Context, nodes int) error {
-	for !n.Ready() || len(n.cluster.live()) < nodes || !n.loads.knows(n.tracker.List(), 100) {
+	for !n.Ready() || len(n.cluster.live()) < nodes || !n.loads.hasWorkerStates(n.tracker.List(), 100) {
 		if ctx.Err() != nil {
-			return merry.Errorf("not ready: %d live nodes, waits for %v", len(n.cluster.live()), n.waitingFor())
+			return merry.Errorf("not ready: %d live nodes, waiting for %v", len(n.cluster.live()), n.waitingFor())
 		}
-		clock.Sleep(ctx, drainPoll)
+		clock.Sleep(ctx, drainPollInterval)
 	}
 	return nil
 }
 
-// MemberState returns the state of a node as this node sees it.
+// MemberState returns the membership state of a node as this node sees it, or "" if it does not know the node.
 func (n *Node) MemberState(node string) string {
 	if m, ok := n.cluster.member(node); ok {
 		return m.Status.String()
