--- a/internal/node/caller_gone_test.go
+++ b/internal/node/caller_gone_test.go
@@ -10,14 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a refusal, with a second header, that is written into the stream of a caller who has left, and is
-// logged as an internal error.
-func TestCallerThatLeavesGetsNoSecondHeader(t *testing.T) {
-	var warnings bytes.Buffer // net/http tells of a second header in the standard log only
-	old := log.Writer()
+// Guards against writing a refusal, with a second header, into the stream of a caller that has disconnected, and
+// logging it as an internal error.
+func TestDisconnectedCallerGetsNoSecondHeader(t *testing.T) {
+	var warnings bytes.Buffer // net/http reports a second header only in the standard log
+	oldOutput := log.Writer()
 	log.SetOutput(&warnings)
-	defer log.SetOutput(old)
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+	defer log.SetOutput(oldOutput)
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		r := c.mustOpen(t, 0, longPrompt)
 		r.read(20)
 		assert.NilError(t, r.body.Close())
--- a/internal/node/caller_test.go
+++ b/internal/node/caller_test.go
@@ -17,9 +17,10 @@
 
 const (
 	shopToken = "shop-token"
-	// resumePause is how long a caller waits before it resumes elsewhere, resumeLimit how long it tries.
-	resumePause = 100 * time.Millisecond
-	resumeLimit = 30 * time.Second
+	// resumeInterval is the wait before each attempt to resume a stream on the next node, resumeTimeout the time in
+	// which one must succeed.
+	resumeInterval = 100 * time.Millisecond
+	resumeTimeout  = 30 * time.Second
 )
 
 // caller is a client of the cluster: net/http over the in-memory network.
@@ -35,15 +36,15 @@
 	}}
 }
 
-// request is one request of a session.
+// request is one request of a caller.
 type request struct {
 	method, path, key, body string
-	lastEvent               string
-	timeout                 time.Duration // what the caller states; 0 for nothing
+	lastEventID             string
+	timeout                 time.Duration // sent with the request; 0 means none
 }
 
-// answer is what the caller saw.
-type answer struct {
+// response is the result of a request as the caller sees it.
+type response struct {
 	status   int
 	code     string
 	ran      string
@@ -52,17 +53,17 @@
 	err      error
 }
 
-// String is the line of a transcript.
-func (a answer) String() string {
+// String returns the response as transcripts show it.
+func (r response) String() string {
 	switch {
-	case a.err != nil:
+	case r.err != nil:
 		return "connection lost"
-	case a.location != "":
-		return fmt.Sprintf("%d code=%s sent on", a.status, a.code)
-	case a.ran != "":
-		return fmt.Sprintf("%d code=%s ran=%s", a.status, a.code, a.ran)
+	case r.location != "":
+		return fmt.Sprintf("%d code=%s redirected", r.status, r.code)
+	case r.ran != "":
+		return fmt.Sprintf("%d code=%s ran=%s", r.status, r.code, r.ran)
 	default:
-		return fmt.Sprintf("%d", a.status)
+		return fmt.Sprintf("%d", r.status)
 	}
 }
 
@@ -79,41 +80,41 @@
 	if r.timeout > 0 {
 		req.Header.Set("X-Pollenlug-Timeout-Ms", strconv.FormatInt(r.timeout.Milliseconds(), 10))
 	}
-	if r.lastEvent != "" {
-		req.Header.Set("Last-Event-ID", r.lastEvent)
+	if r.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", r.lastEventID)
 	}
 	return c.client.Do(req)
 }
 
-// do sends a request and reads the whole answer.
-func (c *caller) do(node int, r request) answer {
-	res, err := c.send(context.Background(), node, r)
+// do sends a request and reads the complete response.
+func (c *caller) do(node int, r request) response {
+	httpResponse, err := c.send(context.Background(), node, r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(res.Body)
-	out := answer{status: res.StatusCode, code: res.Header.Get("X-Pollenlug-Code"), location: res.Header.Get("Location"), body: string(body), err: err}
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(httpResponse.Body)
+	out := response{status: httpResponse.StatusCode, code: httpResponse.Header.Get("X-Pollenlug-Code"), location: httpResponse.Header.Get("Location"), body: string(body), err: err}
 	var refusal struct {
 		Error struct{ Ran string }
 	}
-	if res.StatusCode >= http.StatusBadRequest && json.Unmarshal(body, &refusal) == nil {
+	if httpResponse.StatusCode >= http.StatusBadRequest && json.Unmarshal(body, &refusal) == nil {
 		out.ran = refusal.Error.Ran
 	}
 	return out
 }
 
-func (c *caller) book(node int, key, body string) answer { return c.bookWithin(node, key, body, 0) }
+func (c *caller) book(node int, key, body string) response { return c.bookWithin(node, key, body, 0) }
 
-func (c *caller) bookWithin(node int, key, body string, timeout time.Duration) answer {
+func (c *caller) bookWithin(node int, key, body string, timeout time.Duration) response {
 	return c.do(node, request{method: "POST", path: "/s/booking/bookings", key: key, body: body, timeout: timeout})
 }
 
-func (c *caller) look(node int) answer {
+func (c *caller) lookUp(node int) response {
 	return c.do(node, request{method: "GET", path: "/s/booking/history?board=1"})
 }
 
-// prompt is a request for a generation with the answer that every fault-free run gives.
+// prompt is a generation request. Its response is deterministic: expectedText is what every fault-free run returns.
 type prompt struct {
 	text   string
 	tokens uint32
@@ -125,57 +126,57 @@
 	return string(body)
 }
 
-func (p prompt) answer() string {
-	tokens, _ := engine.Answer(backend.GenerateRequest{Model: "brief-large", Prompt: p.text, Seed: p.seed, MaxTokens: p.tokens})
-	return strings.Join(tokens, "")
+func (p prompt) expectedText() string {
+	expected, _ := engine.Answer(backend.GenerateRequest{Model: "brief-large", Prompt: p.text, Seed: p.seed, MaxTokens: p.tokens})
+	return strings.Join(expected, "")
 }
 
-// stream is a streamed answer as one caller reads it.
+// stream is a streamed response as one caller reads it.
 type stream struct {
-	caller  *caller
-	node    int
-	id      string
-	lastID  string
-	text    strings.Builder
-	tokens  int
-	done    bool // the end mark was read
-	failure string
-	resumes int
-	body    io.ReadCloser
-	lines   *bufio.Scanner
-}
-
-// open sends a prompt to a node. A refusal is returned as an answer.
-func (c *caller) open(node int, p prompt) (*stream, *answer) {
+	caller      *caller
+	node        int
+	id          string
+	lastEventID string
+	text        strings.Builder
+	tokens      int
+	done        bool // [DONE] was read
+	failure     string
+	resumes     int
+	body        io.ReadCloser
+	lines       *bufio.Scanner
+}
+
+// open sends a prompt to a node. It returns the response if the request is refused, and nil otherwise.
+func (c *caller) open(node int, p prompt) (*stream, *response) {
 	s := &stream{caller: c, node: node}
 	refused := s.connect(request{method: "POST", path: "/v1/completions", body: p.body(true)})
 	return s, refused
 }
 
-func (s *stream) connect(r request) *answer {
+func (s *stream) connect(r request) *response {
 	if s.body != nil {
 		_ = s.body.Close()
 	}
-	res, err := s.caller.send(context.Background(), s.node, r)
+	httpResponse, err := s.caller.send(context.Background(), s.node, r)
 	if err != nil {
-		return &answer{err: err}
+		return &response{err: err}
 	}
-	if res.StatusCode != http.StatusOK {
-		_ = res.Body.Close()
-		return &answer{status: res.StatusCode, code: res.Header.Get("X-Pollenlug-Code"), location: res.Header.Get("Location")}
+	if httpResponse.StatusCode != http.StatusOK {
+		_ = httpResponse.Body.Close()
+		return &response{status: httpResponse.StatusCode, code: httpResponse.Header.Get("X-Pollenlug-Code"), location: httpResponse.Header.Get("Location")}
 	}
-	s.id, s.body, s.lines = res.Header.Get("X-Request-Id"), res.Body, bufio.NewScanner(res.Body)
+	s.id, s.body, s.lines = httpResponse.Header.Get("X-Request-Id"), httpResponse.Body, bufio.NewScanner(httpResponse.Body)
 	return nil
 }
 
-// read reads until n tokens have arrived in all, or to the end for 0. It returns false when the connection ends early.
+// read reads until n tokens have arrived in total, or to the end if n is 0. It returns false if the connection is lost.
 func (s *stream) read(n int) bool {
 	for !s.done && s.failure == "" && (n == 0 || s.tokens < n) {
 		if !s.lines.Scan() {
 			_ = s.body.Close()
 			return false
 		}
-		s.line(s.lines.Text())
+		s.parseLine(s.lines.Text())
 	}
 	if s.done || s.failure != "" {
 		_ = s.body.Close()
@@ -183,14 +184,14 @@
 	return true
 }
 
-func (s *stream) line(line string) {
-	if id, ok := strings.CutPrefix(line, "id: "); ok {
-		s.lastID = id
+func (s *stream) parseLine(text string) {
+	if id, ok := strings.CutPrefix(text, "id: "); ok {
+		s.lastEventID = id
 	}
-	if line == "event: error" {
+	if text == "event: error" {
 		s.failure = "error event"
 	}
-	data, ok := strings.CutPrefix(line, "data: ")
+	data, ok := strings.CutPrefix(text, "data: ")
 	if !ok {
 		return
 	}
@@ -207,7 +208,7 @@
 	}
 }
 
-// finish reads to the end; when the connection ends early it resumes on the other nodes, as a caller would.
+// finish reads to the end. If the connection ends early, it resumes on the other nodes, as a real caller would.
 func (s *stream) finish() error {
 	lost := time.Time{}
 	for !s.read(0) {
@@ -215,7 +216,7 @@
 			lost = time.Now()
 		}
 		before := s.tokens
-		if err := s.resume(lost.Add(resumeLimit)); err != nil {
+		if err := s.resume(lost.Add(resumeTimeout)); err != nil {
 			return err
 		}
 		if s.tokens > before {
@@ -228,12 +229,12 @@
 	return nil
 }
 
-func (s *stream) resume(limit time.Time) error {
+func (s *stream) resume(deadline time.Time) error {
 	refusals := map[string]bool{}
-	for time.Now().Before(limit) {
-		time.Sleep(resumePause)
+	for time.Now().Before(deadline) {
+		time.Sleep(resumeInterval)
 		s.node = (s.node + 1) % len(s.caller.cluster.nodes)
-		refused := s.connect(request{method: "GET", path: "/v1/responses/" + s.id, lastEvent: s.lastID})
+		refused := s.connect(request{method: "GET", path: "/v1/responses/" + s.id, lastEventID: s.lastEventID})
 		if refused == nil {
 			s.resumes++
 			return nil
@@ -243,10 +244,10 @@
 	return fmt.Errorf("%s: cannot be resumed after %d tokens: %v", s.id, s.tokens, sortedKeys(refusals))
 }
 
-// check compares a complete stream with the fault-free answer.
+// check compares a complete stream with the fault-free response.
 func (s *stream) check(p prompt) error {
-	if want := p.answer(); s.text.String() != want {
-		return fmt.Errorf("%s: %d tokens that differ from the fault-free answer of %d", s.id, s.tokens, p.tokens)
+	if want := p.expectedText(); s.text.String() != want {
+		return fmt.Errorf("%s: %d tokens that differ from the fault-free response of %d", s.id, s.tokens, p.tokens)
 	}
 	return nil
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -31,18 +31,18 @@
 const (
 	testRegion  = "local"
 	testDomains = 4
-	// listLag is the age of the instance list, loadLag that of load reports.
+	// listLag is how old the entries of the instance list are, loadLag how old the engines' load reports are.
 	listLag = 2 * time.Second
 	loadLag = 200 * time.Millisecond
 	// stepTime is the time of one token on an idle engine.
 	stepTime = 20 * time.Millisecond
 	// readyLimit bounds the start of a cluster in virtual time.
 	readyLimit = 30 * time.Second
-	// settleTime ends what still waits at the end of a session: no generation runs for longer.
+	// settleTime is how long a stopped cluster is given for its goroutines to end: no generation runs for longer.
 	settleTime = 15 * time.Minute
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict. Another one is set by -rapid.seed.
+// TestMain fixes the seed of rapid, so that every run has the same result; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -52,7 +52,7 @@
 
 var verbose = flag.Bool("node.log", false, "print the logs of the nodes")
 
-// server is what engines and services have in common.
+// server is the common interface of the stand-in engines and services.
 type server interface {
 	Listen(addr string) error
 	Close()
@@ -71,7 +71,8 @@
 	ServiceDelay time.Duration
 }
 
-// cluster is a set of whole entry nodes with stand-ins of everything around them, in the virtual time of a bubble.
+// cluster is a set of complete entry nodes, with stand-ins for the platform and the backend servers, in the virtual
+// time of a synctest bubble.
 type cluster struct {
 	opts     clusterOptions
 	platform *standin.Platform
@@ -91,23 +92,23 @@
 	*node.Node
 	settings *pb.NodeSettings
 	process  *process
-	drain    context.CancelFunc // as SIGTERM does
+	drain    context.CancelFunc // has the effect of SIGTERM
 	done     chan struct{}
 	err      error
 }
 
-// inCluster runs a session with a cluster in virtual time.
-func inCluster(t *testing.T, opts clusterOptions, session func(t *testing.T, c *cluster)) {
+// runWithCluster runs a scenario with a cluster in virtual time.
+func runWithCluster(t *testing.T, opts clusterOptions, scenario func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c, err := newCluster(opts)
 		assert.NilError(t, err)
 		defer c.stop()
-		session(t, c)
+		scenario(t, c)
 	})
 }
 
-// newCluster returns when every node is ready and sees all others.
+// newCluster starts a cluster and returns when every node is ready and sees all others.
 func newCluster(opts clusterOptions) (*cluster, error) {
 	if opts.Nodes == 0 {
 		opts.Nodes = testDomains
@@ -286,14 +287,14 @@
 	return logger.WithField("node", name)
 }
 
-// kill ends a node at once, as when its instance is switched off.
+// kill ends a node at once, like a power failure of its instance.
 func (n *testNode) kill() {
 	n.process.kill()
 	n.Kill()
 	n.drain()
 }
 
-// exited reports whether the node's process has ended by itself.
+// exited reports whether the node's Run has returned.
 func (n *testNode) exited() bool {
 	select {
 	case <-n.done:
@@ -303,7 +304,7 @@
 	}
 }
 
-// stop ends everything, and waits until nothing is left in the bubble.
+// stop ends everything and waits until no goroutine is left in the synctest bubble.
 func (c *cluster) stop() {
 	for _, n := range c.nodes {
 		n.kill()
@@ -321,12 +322,12 @@
 	time.Sleep(settleTime)
 }
 
-// Guards against a node that does not start without real sockets, or whose start depends on the real clock.
+// Guards against nodes that cannot start without real sockets or whose start depends on the real clock.
 func TestNodesRunInVirtualTime(t *testing.T) {
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		for i, n := range c.nodes {
-			answer := newCaller(c).do(i, request{method: "GET", path: "/readyz"})
-			assert.Equal(t, answer.status, 200, "%s: %s", n.settings.Node, answer.body)
+			res := newCaller(c).do(i, request{method: "GET", path: "/readyz"})
+			assert.Equal(t, res.status, 200, "%s: %s", n.settings.Node, res.body)
 		}
 	})
 }
--- a/internal/node/config_session_test.go
+++ b/internal/node/config_session_test.go
@@ -28,17 +28,18 @@
 	} `json:"folder_faults"`
 }
 
-// status reads the status of a node without its network, as the values of that instant.
+// status returns the status of a node at this instant, read directly instead of over the network.
 func (n *testNode) status() nodeStatus {
 	var out nodeStatus
 	body, err := json.Marshal(n.Status())
 	if err != nil || json.Unmarshal(body, &out) != nil {
-		panic("test: the status of a node is not JSON")
+		panic("test: node status cannot be encoded as JSON")
 	}
 	return out
 }
 
-// awaitRevision waits until the nodes have a folder revision, or a later one, in force and returns how long it took.
+// awaitRevision waits until the nodes have a folder revision, or a later one, in force. It returns how long that took,
+// or the limit and false if it took longer.
 func (c *cluster) awaitRevision(revision uint64, limit time.Duration, nodes ...*testNode) (time.Duration, bool) {
 	begin := time.Now()
 	for time.Since(begin) <= limit {
@@ -51,9 +52,10 @@
 	return limit, false
 }
 
-// watchVersions checks that no node's version decreases until stop, which returns the nodes where it did.
+// watchVersions watches the configuration versions of all nodes until stop, which returns the nodes where one
+// decreased.
 func (c *cluster) watchVersions() (stop func() []string) {
-	quit, done := make(chan struct{}), make(chan []string)
+	stopping, done := make(chan struct{}), make(chan []string)
 	go func() {
 		highest, decreased := map[*testNode]uint64{}, map[string]bool{}
 		for {
@@ -68,7 +70,7 @@
 				highest[n] = max(highest[n], version)
 			}
 			select {
-			case <-quit:
+			case <-stopping:
 				done <- sortedKeys(decreased)
 				return
 			case <-time.After(200 * time.Millisecond):
@@ -76,20 +78,20 @@
 		}
 	}()
 	return func() []string {
-		close(quit)
+		close(stopping)
 		return <-done
 	}
 }
 
-// workspaceFile returns a file with one workspace, whose token differs from those of other names.
+// workspaceFile returns a configuration file with one workspace. Each name has a token of its own.
 func workspaceFile(name string) []byte {
 	return fmt.Appendf(nil, `{"workspaces":[{"name":%q,"token_sha256":["%x"]}]}`, name, sha256.Sum256([]byte(name)))
 }
 
-// Guards against edits that are not in force on all 8 nodes within 2 s: single ones, those of two operators at the same
-// time, and the repair of a folder that did not validate.
+// Guards against edits that are not in force on all 8 nodes within 2 s: single edits, concurrent edits by two
+// operators, and the repair of a folder that did not validate.
 func TestEditsAreInForceEverywhereIn2Seconds(t *testing.T) {
-	inCluster(t, clusterOptions{Nodes: 8}, func(t *testing.T, c *cluster) {
+	runWithCluster(t, clusterOptions{Nodes: 8}, func(t *testing.T, c *cluster) {
 		for i := range 50 {
 			time.Sleep(777 * time.Millisecond)
 			if i%5 == 0 {
@@ -109,32 +111,32 @@
 	})
 }
 
-// Guards against a configuration that is slow to be in force, that reverts, or that takes over a folder which does
-// not validate: 8 nodes, a store outage, a restart and two operators.
-func TestSessionOfConfiguration(t *testing.T) {
-	inCluster(t, clusterOptions{Nodes: 8}, func(t *testing.T, c *cluster) {
+// Guards against a configuration that takes effect too late, reverts, or comes from a folder that does not validate,
+// with 8 nodes, a store outage, a node restart and two operators.
+func TestConfigurationScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{Nodes: 8}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
-		decreased := c.watchVersions()
+		stopWatching := c.watchVersions()
 		s.step("two operators edit at the same time")
 		first := c.folder.EditFile("91-operator.json", workspaceFile("operator-a"))
 		second := c.folder.EditFile("91-operator.json", workspaceFile("operator-bb"))
 		_, ok := c.awaitRevision(second, 17*time.Second, c.nodes...)
-		s.saw("the later edit is in force everywhere: %v", ok && second > first)
+		s.observe("the later edit is in force everywhere: %v", ok && second > first)
 
 		s.step("an edit that does not validate")
 		before := c.nodes[0].status().Config.Version
 		c.folder.EditFile("92-bad.json", []byte(`{"workspaces":[{"name":"shop","share":"many"}]}`))
 		time.Sleep(5 * time.Second)
-		same, told := true, true
+		unchanged, reported := true, true
 		for _, n := range c.nodes {
 			status := n.status()
-			same = same && status.Config.Version == before
-			told = told && status.FolderFaults != nil && status.FolderFaults.Faults[0].File == "92-bad.json"
+			unchanged = unchanged && status.Config.Version == before
+			reported = reported && status.FolderFaults != nil && status.FolderFaults.Faults[0].File == "92-bad.json"
 		}
-		s.saw("the version stays on all nodes: %v, all nodes tell the file: %v", same, told)
+		s.observe("the version stays on all nodes: %v, all nodes report the file: %v", unchanged, reported)
 		repaired := c.folder.EditFile("92-bad.json", nil)
 		_, ok = c.awaitRevision(repaired, 17*time.Second, c.nodes...)
-		s.saw("the repaired folder is in force everywhere: %v", ok)
+		s.observe("the repaired folder is in force everywhere: %v", ok)
 
 		s.step("an edit is accepted, and the store goes down when the first node has it in force")
 		revision := c.folder.EditFile("93-outage.json", workspaceFile("outage"))
@@ -144,7 +146,7 @@
 		}
 		c.platform.StoreOutage(table.Hanging)
 		_, ok = c.awaitRevision(revision, 17*time.Second, c.nodes...)
-		s.saw("in force everywhere within 17 s: %v", ok)
+		s.observe("in force everywhere within 17 s: %v", ok)
 
 		s.step("entry-3 restarts during the outage")
 		inForce := c.nodes[0].status().Config.Version
@@ -152,16 +154,16 @@
 		<-c.nodes[2].done
 		assert.NilError(t, c.addNode(2))
 		_, ok = c.awaitRevision(revision, 17*time.Second, c.nodes[2])
-		s.saw("it has the version of the others within 17 s: %v", ok && c.nodes[2].status().Config.Version == inForce)
+		s.observe("it has the version of the others within 17 s: %v", ok && c.nodes[2].status().Config.Version == inForce)
 
 		s.step("an edit during the outage, then the store recovers")
 		during := c.folder.EditFile("94-during.json", workspaceFile("during"))
 		time.Sleep(5 * time.Second)
-		s.saw("not in force before it is accepted: %v", c.nodes[0].status().Config.FolderRevision < during)
+		s.observe("not in force before it is accepted: %v", c.nodes[0].status().Config.FolderRevision < during)
 		c.platform.HealStore()
 		_, ok = c.awaitRevision(during, 10*time.Second, c.nodes...)
-		s.saw("in force everywhere within 10 s: %v", ok)
-		s.saw("nodes whose version has decreased: %v", decreased())
+		s.observe("in force everywhere within 10 s: %v", ok)
+		s.observe("nodes whose version has decreased: %v", stopWatching())
 		s.assert("configuration")
 	})
 }
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -18,66 +18,67 @@
 )
 
 const (
-	// linkDelay is the time of a message between nodes, linkJitter what is added at most. Distinct delays keep two
-	// messages from arriving at the same instant, whose order would be left to the scheduler.
+	// linkDelay is the minimum delay of a message between nodes, linkJitter the maximum added to it. Distinct delays
+	// keep two messages from arriving at the same instant, where the scheduler would determine their order.
 	linkDelay  = time.Millisecond
 	linkJitter = 200 * time.Microsecond
-	// lossDelay is how much later a lost message arrives: QUIC repeats it.
-	lossDelay = 30 * time.Millisecond
+	// retransmitDelay is the extra delay of a lost message, which QUIC sends again.
+	retransmitDelay = 30 * time.Millisecond
 )
 
-var errNoAnswer = errors.New("test: no answer")
+var errNoReply = errors.New("test: no reply")
 
-// mesh carries messages between nodes in memory. Loss and delay are hashes of the seed, the link and the number of the
-// message on it, so that they do not depend on the scheduler.
+// mesh is an in-memory network between nodes. Loss and delay are derived from a hash of the seed, the link and the
+// message's number on the link, so that they do not depend on the scheduler.
 type mesh struct {
 	seed uint64
 
-	mu    sync.Mutex
-	ends  map[string]*endpoint // by address
-	cut   map[string]bool      // node names whose messages neither leave nor arrive
-	links map[string]uint64    // messages so far by link
-	loss  uint64               // percent
+	mu           sync.Mutex
+	endpoints    map[string]*endpoint // by address
+	partitioned  map[string]bool      // node names whose messages neither leave nor arrive
+	messageCount map[string]uint64    // by link
+	lossPercent  uint64
 }
 
 func newMesh(seed uint64) *mesh {
-	return &mesh{seed: seed, ends: map[string]*endpoint{}, cut: map[string]bool{}, links: map[string]uint64{}}
+	return &mesh{seed: seed, endpoints: map[string]*endpoint{}, partitioned: map[string]bool{}, messageCount: map[string]uint64{}}
 }
 
-// setCut cuts a node off from all others or connects it again; its links to the platform and to servers stay.
-func (m *mesh) setCut(name string, cut bool) {
+// setPartitioned cuts a node off from all other nodes or reconnects it. Its links to the platform and to servers
+// remain.
+func (m *mesh) setPartitioned(name string, partitioned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut[name] = cut
+	m.partitioned[name] = partitioned
 }
 
 func (m *mesh) setLoss(percent uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.loss = percent
+	m.lossPercent = percent
 }
 
-// carry calls deliver when a message arrives, or never when the link is cut.
-func (m *mesh) carry(from, to string, deliver func()) {
+// transmit calls deliver when a message arrives, which is never if either end is cut off.
+func (m *mesh) transmit(from, to string, deliver func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	link := from + ">" + to
-	m.links[link]++
-	draw := xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", m.seed, link, m.links[link]))
-	if m.cut[from] || m.cut[to] {
+	m.messageCount[link]++
+	hash := xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", m.seed, link, m.messageCount[link]))
+	if m.partitioned[from] || m.partitioned[to] {
 		return
 	}
-	delay := linkDelay + time.Duration(draw%uint64(linkJitter))
-	if draw>>32%100 < m.loss {
-		delay += lossDelay
+	delay := linkDelay + time.Duration(hash%uint64(linkJitter))
+	if hash>>32%100 < m.lossPercent {
+		delay += retransmitDelay
 	}
 	time.AfterFunc(delay, deliver)
 }
 
-func (m *mesh) at(addr string) *endpoint {
+func (m *mesh) endpointAt(addr string) *endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ends[addr]
+	return m.endpoints[addr]
 }
 
 // endpoint is the transport of one node; it implements node.Transport.
@@ -99,7 +100,7 @@
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ends[s.NodeAddr] = e
+	m.endpoints[s.NodeAddr] = e
 	return e
 }
 
@@ -114,13 +115,13 @@
 	e.cancel()
 	e.mesh.mu.Lock()
 	defer e.mesh.mu.Unlock()
-	if e.mesh.ends[e.addr] == e {
-		delete(e.mesh.ends, e.addr)
+	if e.mesh.endpoints[e.addr] == e {
+		delete(e.mesh.endpoints, e.addr)
 	}
 	return nil
 }
 
-func (e *endpoint) stamp(env *pb.Envelope) *pb.Envelope {
+func (e *endpoint) withSender(env *pb.Envelope) *pb.Envelope {
 	copied := proto.Clone(env).(*pb.Envelope)
 	copied.Protocol, copied.From, copied.Region = transport.ProtocolVersion, e.name, e.region
 	return copied
@@ -128,40 +129,40 @@
 
 // Send implements node.Transport.
 func (e *endpoint) Send(addr string, env *pb.Envelope) {
-	target := e.mesh.at(addr)
+	target := e.mesh.endpointAt(addr)
 	if target == nil || e.process.isDead() {
 		return
 	}
-	message := e.stamp(env)
-	e.mesh.carry(e.name, target.name, func() {
-		if e.process.pass() == nil {
+	message := e.withSender(env)
+	e.mesh.transmit(e.name, target.name, func() {
+		if e.process.awaitRunning() == nil {
 			_, _ = target.handle(message)
 		}
 	})
 }
 
-// Request implements node.Transport. Without an answer it waits for its deadline, as QUIC does for a silent peer.
+// Request implements node.Transport. If there is no reply, it waits until its deadline, as QUIC does for a silent peer.
 func (e *endpoint) Request(ctx context.Context, addr string, env *pb.Envelope) (*pb.Envelope, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, transport.DefaultTimeout)
 		defer cancel()
 	}
-	if err := e.process.pass(); err != nil {
+	if err := e.process.awaitRunning(); err != nil {
 		return nil, err
 	}
-	answer := make(chan *pb.Envelope, 1)
-	if target := e.mesh.at(addr); target != nil {
-		message := e.stamp(env)
-		e.mesh.carry(e.name, target.name, func() {
+	replies := make(chan *pb.Envelope, 1)
+	if target := e.mesh.endpointAt(addr); target != nil {
+		message := e.withSender(env)
+		e.mesh.transmit(e.name, target.name, func() {
 			if reply, ok := target.handle(message); ok {
-				e.mesh.carry(target.name, e.name, func() { answer <- reply })
+				e.mesh.transmit(target.name, e.name, func() { replies <- reply })
 			}
 		})
 	}
 	select {
-	case reply := <-answer:
-		if err := e.process.pass(); err != nil {
+	case reply := <-replies:
+		if err := e.process.awaitRunning(); err != nil {
 			return nil, err
 		}
 		if ack := reply.GetAck(); ack.GetCode() != 0 {
@@ -169,14 +170,15 @@
 		}
 		return reply, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w from %s: %w", errNoAnswer, addr, ctx.Err())
+		return nil, fmt.Errorf("%w from %s: %w", errNoReply, addr, ctx.Err())
 	}
 }
 
-// handle calls the node's handler and turns its error into an Ack. It returns false when the process died meanwhile.
+// handle calls the node's handler and turns its error into an Ack. It returns false if there is no handler, the
+// endpoint is closed or the process is dead.
 func (e *endpoint) handle(message *pb.Envelope) (*pb.Envelope, bool) {
 	h := e.handler.Load()
-	if h == nil || e.process.pass() != nil || e.ctx.Err() != nil {
+	if h == nil || e.process.awaitRunning() != nil || e.ctx.Err() != nil {
 		return nil, false
 	}
 	reply, err := (*h)(e.ctx, message.From, message)
@@ -187,5 +189,5 @@
 	if reply == nil || reply.Body == nil {
 		reply = &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{}}}
 	}
-	return e.stamp(reply), e.process.pass() == nil
+	return e.withSender(reply), e.process.awaitRunning() == nil
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -15,8 +15,8 @@
 
 var errDead = errors.New("test: the process is dead")
 
-// process is the border between a node and everything outside. A paused process neither sends nor receives until it
-// resumes; a dead one never does again, although its goroutines still run in the test.
+// process simulates a node's process at its connections to everything outside. A paused process neither sends nor
+// receives until it resumes; a dead one never does again, although its goroutines still run in the test.
 type process struct {
 	mu      sync.Mutex
 	resumed chan struct{} // closed by resume; nil while the process runs
@@ -54,7 +54,7 @@
 	}
 }
 
-// kill cuts the process off for good and closes its connections.
+// kill marks the process as dead and closes its connections.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +67,9 @@
 	}
 }
 
-// pass waits until the process runs. The end of a context is not seen by a paused process, so there is none.
-func (p *process) pass() error {
+// awaitRunning waits until the process is not paused, and returns errDead if it is dead. It takes no context, since a
+// paused process would not see one end.
+func (p *process) awaitRunning() error {
 	for {
 		p.mu.Lock()
 		resumed := p.resumed
@@ -86,7 +87,7 @@
 	}
 }
 
-// gatedConn is a connection of a process.
+// gatedConn is a connection of a process, which blocks while the process is paused.
 type gatedConn struct {
 	net.Conn
 	process *process
@@ -106,15 +107,16 @@
 // Read implements net.Conn.
 func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if passErr := c.process.pass(); passErr != nil {
+	if passErr := c.process.awaitRunning(); passErr != nil {
 		return 0, passErr
 	}
 	return n, err
 }
 
-// Write implements net.Conn. A pause between the node's last check and its first byte is the worst moment for it.
+// Write implements net.Conn. It waits before the write, which simulates the worst case: a pause between the node's last
+// check and the first byte that it sends.
 func (c *gatedConn) Write(b []byte) (int, error) {
-	if err := c.process.pass(); err != nil {
+	if err := c.process.awaitRunning(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -128,10 +130,10 @@
 	return c.Conn.Close()
 }
 
-// dialer returns the function by which the process opens connections.
+// dialer returns a dial function for connections of the process.
 func (p *process) dialer(network *netfault.PipeNetwork) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, kind, addr string) (net.Conn, error) {
-		if err := p.pass(); err != nil {
+		if err := p.awaitRunning(); err != nil {
 			return nil, err
 		}
 		c, err := network.Dial(ctx, kind, addr)
@@ -142,7 +144,7 @@
 	}
 }
 
-// listener returns the function by which the process listens for callers.
+// listener returns a listen function for connections to the process.
 func (p *process) listener(network *netfault.PipeNetwork) func(string) (net.Listener, error) {
 	return func(addr string) (net.Listener, error) {
 		l, err := network.Listen(addr)
@@ -164,7 +166,7 @@
 	return l.process.wrap(c), nil
 }
 
-// platform returns the stand-in as the process reaches it.
+// platform returns the stand-in platform with every call made through the process.
 func (p *process) platform(s *standin.Platform) node.Platform {
 	g := gatedPlatform{p, s}
 	return node.Platform{Table: gatedTable{g}, Objects: gatedObjects{g}, Folder: g, Cloud: g, Instances: g, Weights: g}
@@ -175,15 +177,16 @@
 	standin *standin.Platform
 }
 
-// gate makes a call unless the process is dead, and returns its answer only when the process runs.
-func gate[T any](p *process, call func() (T, error)) (T, error) {
-	var none T
-	if p.pass() != nil {
-		return none, platform.ErrOutcomeUnknown
+// gatedCall makes a call when the process runs, and returns its result when the process runs again. If the process is
+// dead, it returns platform.ErrOutcomeUnknown.
+func gatedCall[T any](p *process, call func() (T, error)) (T, error) {
+	var zero T
+	if p.awaitRunning() != nil {
+		return zero, platform.ErrOutcomeUnknown
 	}
 	out, err := call()
-	if p.pass() != nil {
-		return none, platform.ErrOutcomeUnknown
+	if p.awaitRunning() != nil {
+		return zero, platform.ErrOutcomeUnknown
 	}
 	return out, err
 }
@@ -192,64 +195,64 @@
 
 // Get implements platform.Table.
 func (g gatedTable) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	return gate(g.process, func() (platform.Row, error) { return g.standin.Table.Get(ctx, table, key) })
+	return gatedCall(g.process, func() (platform.Row, error) { return g.standin.Table.Get(ctx, table, key) })
 }
 
 // List implements platform.Table.
 func (g gatedTable) List(ctx context.Context, table, prefix, after string, limit int) ([]platform.Row, error) {
-	return gate(g.process, func() ([]platform.Row, error) { return g.standin.Table.List(ctx, table, prefix, after, limit) })
+	return gatedCall(g.process, func() ([]platform.Row, error) { return g.standin.Table.List(ctx, table, prefix, after, limit) })
 }
 
 // Commit implements platform.Table.
 func (g gatedTable) Commit(ctx context.Context, m []platform.Mutation) ([]uint64, error) {
-	return gate(g.process, func() ([]uint64, error) { return g.standin.Table.Commit(ctx, m) })
+	return gatedCall(g.process, func() ([]uint64, error) { return g.standin.Table.Commit(ctx, m) })
 }
 
 type gatedObjects struct{ gatedPlatform }
 
 // Put implements platform.Objects.
 func (g gatedObjects) Put(ctx context.Context, name string, data []byte) error {
-	_, err := gate(g.process, func() (int, error) { return 0, g.standin.Objects.Put(ctx, name, data) })
+	_, err := gatedCall(g.process, func() (int, error) { return 0, g.standin.Objects.Put(ctx, name, data) })
 	return err
 }
 
 // Get implements platform.Objects.
 func (g gatedObjects) Get(ctx context.Context, name string) ([]byte, error) {
-	return gate(g.process, func() ([]byte, error) { return g.standin.Objects.Get(ctx, name) })
+	return gatedCall(g.process, func() ([]byte, error) { return g.standin.Objects.Get(ctx, name) })
 }
 
 // Read implements platform.Folder.
 func (g gatedPlatform) Read(ctx context.Context) (platform.FolderState, error) {
-	return gate(g.process, func() (platform.FolderState, error) { return g.standin.Folder.Read(ctx) })
+	return gatedCall(g.process, func() (platform.FolderState, error) { return g.standin.Folder.Read(ctx) })
 }
 
 // Instances implements platform.InstanceList.
 func (g gatedPlatform) Instances(ctx context.Context) ([]platform.Instance, error) {
-	return gate(g.process, func() ([]platform.Instance, error) { return g.standin.Cloud.Instances(ctx) })
+	return gatedCall(g.process, func() ([]platform.Instance, error) { return g.standin.Cloud.Instances(ctx) })
 }
 
 // Start implements platform.Cloud.
 func (g gatedPlatform) Start(ctx context.Context, req platform.StartRequest) (platform.Instance, error) {
-	return gate(g.process, func() (platform.Instance, error) { return g.standin.Cloud.Start(ctx, req) })
+	return gatedCall(g.process, func() (platform.Instance, error) { return g.standin.Cloud.Start(ctx, req) })
 }
 
 // Stop implements platform.Cloud.
 func (g gatedPlatform) Stop(ctx context.Context, id string) error {
-	_, err := gate(g.process, func() (int, error) { return 0, g.standin.Cloud.Stop(ctx, id) })
+	_, err := gatedCall(g.process, func() (int, error) { return 0, g.standin.Cloud.Stop(ctx, id) })
 	return err
 }
 
 // Prices implements platform.Cloud.
 func (g gatedPlatform) Prices(ctx context.Context) ([]platform.Price, error) {
-	return gate(g.process, func() ([]platform.Price, error) { return g.standin.Cloud.Prices(ctx) })
+	return gatedCall(g.process, func() ([]platform.Price, error) { return g.standin.Cloud.Prices(ctx) })
 }
 
 // Notices implements platform.Cloud.
 func (g gatedPlatform) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
-	return gate(g.process, func() ([]platform.Notice, error) { return g.standin.Cloud.Notices(ctx, after) })
+	return gatedCall(g.process, func() ([]platform.Notice, error) { return g.standin.Cloud.Notices(ctx, after) })
 }
 
 // Reserve implements platform.Weights.
 func (g gatedPlatform) Reserve(ctx context.Context, model string, size uint32) (time.Duration, error) {
-	return gate(g.process, func() (time.Duration, error) { return g.standin.Weights.Reserve(ctx, model, size) })
+	return gatedCall(g.process, func() (time.Duration, error) { return g.standin.Weights.Reserve(ctx, model, size) })
 }
--- a/internal/node/random_load_test.go
+++ b/internal/node/random_load_test.go
@@ -8,39 +8,40 @@
 
 const (
 	streamsPerNode = 2
-	loadPause      = 150 * time.Millisecond
-	// abandonEvery booking is not sent again after ran:"no", so that a later run of it would show.
+	loadInterval   = 150 * time.Millisecond
+	// Of every abandonEvery bookings, one is not sent again after ran:"no", so that a later run of it can be detected.
 	abandonEvery = 2
-	resends      = 4
-	// shortEvery booking has a caller who waits for less than the service needs, so that the answer is given while the
-	// call may run. The timeouts go up in shortSteps of shortStep, over the time of the claim and of the run.
-	shortEvery = 3
-	shortSteps = 8
-	shortStep  = 50 * time.Millisecond
+	maxSends     = 4
+	// Of every shortTimeoutEvery bookings, one has a timeout that may be shorter than the service needs, so that the
+	// caller gets a response while the call may run. The timeouts increase in shortTimeoutSteps steps of
+	// shortTimeoutStep, so that they cover the time of the claim and of the run.
+	shortTimeoutEvery = 3
+	shortTimeoutSteps = 8
+	shortTimeoutStep  = 50 * time.Millisecond
 )
 
-// mixedLoad are the callers of a run: streams, bookings and lookups on every node.
+// mixedLoad is the load of a schedule run: callers that send streams, bookings and lookups to every node.
 type mixedLoad struct {
 	cluster    *cluster
 	violations chan<- string
 	quit       chan struct{}
 	callers    sync.WaitGroup
 
-	mu       sync.Mutex
-	bookings []*booking
-	leaving  map[string]time.Time // since when, by node
+	mu           sync.Mutex
+	bookings     []*booking
+	leavingSince map[string]time.Time // by node
 }
 
-// booking is one key and what its caller was told.
+// booking is one idempotency key and the responses that its caller got.
 type booking struct {
 	key string
-	// onlyNo says that every answer so far was a refusal with ran:"no", or a redirect.
-	onlyNo  bool
-	answers []string
+	// onlyNotRun reports whether every response so far was a refusal with ran:"no" or a redirect.
+	onlyNotRun bool
+	responses  []string
 }
 
-func startLoad(c *cluster, violations chan<- string) *mixedLoad {
-	l := &mixedLoad{cluster: c, violations: violations, quit: make(chan struct{}), leaving: map[string]time.Time{}}
+func startMixedLoad(c *cluster, violations chan<- string) *mixedLoad {
+	l := &mixedLoad{cluster: c, violations: violations, quit: make(chan struct{}), leavingSince: map[string]time.Time{}}
 	for node := range c.nodes {
 		for i := range streamsPerNode {
 			l.callers.Go(func() { l.stream(node, i) })
@@ -51,7 +52,7 @@
 	return l
 }
 
-// stop ends the load and waits for the answers in progress.
+// stop ends the load and waits for the requests in progress.
 func (l *mixedLoad) stop() {
 	close(l.quit)
 	l.callers.Wait()
@@ -66,108 +67,108 @@
 	}
 }
 
-func (l *mixedLoad) violation(format string, args ...any) {
+func (l *mixedLoad) report(format string, args ...any) {
 	select {
 	case l.violations <- fmt.Sprintf(format, args...):
-	default: // more than the report can show
+	default: // the channel is full; further violations are dropped
 	}
 }
 
-// leaves notes that a node has been told to leave.
-func (l *mixedLoad) leaves(node string) {
+// markLeaving records that a node has been told to leave.
+func (l *mixedLoad) markLeaving(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.leaving[node].IsZero() {
-		l.leaving[node] = time.Now()
+	if l.leavingSince[node].IsZero() {
+		l.leavingSince[node] = time.Now()
 	}
 }
 
-// accepted checks that a node which accepts work now is not one that left too long ago.
-func (l *mixedLoad) accepted(node int, begin time.Time) {
+// checkAccepted reports a violation if a node accepted a request later than leaveLimit after it was told to leave.
+func (l *mixedLoad) checkAccepted(node int, begin time.Time) {
 	name := l.cluster.nodes[node].settings.Node
 	l.mu.Lock()
-	since, leaving := l.leaving[name]
+	since, leaving := l.leavingSince[name]
 	l.mu.Unlock()
-	if leaving && begin.Sub(since) > leaveBound {
-		l.violation("%s accepted work %v after it was told to leave", name, begin.Sub(since))
+	if leaving && begin.Sub(since) > leaveLimit {
+		l.report("%s accepted work %v after it was told to leave", name, begin.Sub(since))
 	}
 }
 
-// stream reads one answer after the other.
-func (l *mixedLoad) stream(node, number int) {
+// stream sends one streamed prompt after the other and checks the responses.
+func (l *mixedLoad) stream(node, callerNumber int) {
 	caller := newCaller(l.cluster)
 	for i := 0; l.running(); i++ {
-		p := prompt{text: fmt.Sprintf("brief %d for caller %d of node %d", i, number, node), tokens: uint32(100 + 50*number), seed: uint64(i + 1)}
+		p := prompt{text: fmt.Sprintf("brief %d for caller %d of node %d", i, callerNumber, node), tokens: uint32(100 + 50*callerNumber), seed: uint64(i + 1)}
 		begin := time.Now()
 		s, refused := caller.open(node, p)
 		if refused != nil {
-			time.Sleep(loadPause)
+			time.Sleep(loadInterval)
 			continue
 		}
-		l.accepted(node, begin)
+		l.checkAccepted(node, begin)
 		if err := s.finish(); err != nil {
-			l.violation("accepted stream: %v", err)
+			l.report("accepted stream: %v", err)
 		} else if err := s.check(p); err != nil {
-			l.violation("accepted stream: %v", err)
+			l.report("accepted stream: %v", err)
 		}
 	}
 }
 
-// book makes one booking after the other; a booking without an answer is sent again to the next nodes.
+// book makes one booking after the other; a booking that has not succeeded is sent again to the next nodes.
 func (l *mixedLoad) book(node int) {
 	caller := newCaller(l.cluster)
 	for i := 0; l.running(); i++ {
-		b := &booking{key: fmt.Sprintf("k-%d-%d", node, i), onlyNo: true}
+		b := &booking{key: fmt.Sprintf("k-%d-%d", node, i), onlyNotRun: true}
 		l.mu.Lock()
 		l.bookings = append(l.bookings, b)
 		l.mu.Unlock()
 		timeout := time.Duration(0)
-		if i%shortEvery == 0 {
-			timeout = time.Duration(1+i/shortEvery%shortSteps) * shortStep
+		if i%shortTimeoutEvery == 0 {
+			timeout = time.Duration(1+i/shortTimeoutEvery%shortTimeoutSteps) * shortTimeoutStep
 		}
-		for try := range resends {
+		for try := range maxSends {
 			target := (node + try) % len(l.cluster.nodes)
 			begin := time.Now()
-			a := caller.bookWithin(target, b.key, "deposit", timeout)
-			if l.note(b, a, target, begin) || (b.onlyNo && i%abandonEvery == 0) {
+			res := caller.bookWithin(target, b.key, "deposit", timeout)
+			if l.record(b, res, target, begin) || (b.onlyNotRun && i%abandonEvery == 0) {
 				break
 			}
-			time.Sleep(loadPause)
+			time.Sleep(loadInterval)
 		}
-		time.Sleep(loadPause)
+		time.Sleep(loadInterval)
 	}
 }
 
-// note records an answer and reports whether the booking is done.
-func (l *mixedLoad) note(b *booking, a answer, node int, begin time.Time) (done bool) {
-	b.answers = append(b.answers, a.String())
-	if a.err == nil && a.status == 200 {
-		l.accepted(node, begin)
-		b.onlyNo = false
+// record adds a response to a booking, checks it and reports whether the booking has succeeded.
+func (l *mixedLoad) record(b *booking, res response, node int, begin time.Time) (done bool) {
+	b.responses = append(b.responses, res.String())
+	if res.err == nil && res.status == 200 {
+		l.checkAccepted(node, begin)
+		b.onlyNotRun = false
 		if n := l.cluster.runs.Count("shop/" + b.key); n != 1 {
-			l.violation("%s was answered with success and ran %d times", b.key, n)
+			l.report("%s succeeded for its caller but ran %d times", b.key, n)
 		}
 		return true
 	}
-	if a.ran != "no" && a.location == "" {
-		b.onlyNo = false
+	if res.ran != "no" && res.location == "" {
+		b.onlyNotRun = false
 	}
-	l.checkNo(b)
+	l.checkNotRun(b)
 	return false
 }
 
-func (l *mixedLoad) checkNo(b *booking) {
-	if n := l.cluster.runs.Count("shop/" + b.key); b.onlyNo && n > 0 {
-		l.violation("%s ran %d times although its callers were told that it did not: %v", b.key, n, b.answers)
+func (l *mixedLoad) checkNotRun(b *booking) {
+	if n := l.cluster.runs.Count("shop/" + b.key); b.onlyNotRun && n > 0 {
+		l.report("%s ran %d times although its callers were told that it did not: %v", b.key, n, b.responses)
 	}
 }
 
-// checkBookings checks at the end that no booking ran after its callers were told that it did not.
-func (l *mixedLoad) checkBookings(*run) {
+// checkBookings checks at the end that no booking ran whose caller only got responses with ran:"no" or redirects.
+func (l *mixedLoad) checkBookings(*faultRun) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range l.bookings {
-		l.checkNo(b)
+		l.checkNotRun(b)
 	}
 }
 
@@ -175,9 +176,9 @@
 	caller := newCaller(l.cluster)
 	for l.running() {
 		begin := time.Now()
-		if a := caller.look(node); a.err == nil && a.status == 200 {
-			l.accepted(node, begin)
+		if res := caller.lookUp(node); res.err == nil && res.status == 200 {
+			l.checkAccepted(node, begin)
 		}
-		time.Sleep(loadPause)
+		time.Sleep(loadInterval)
 	}
 }
--- a/internal/node/random_schedule_test.go
+++ b/internal/node/random_schedule_test.go
@@ -17,19 +17,19 @@
 var schedules = flag.Int("node.schedules", 6, "number of random fault schedules for the whole cluster")
 
 const (
-	// leaveBound is when a leaving instance must receive no new work any more, after its notice.
-	leaveBound = 3 * time.Second
-	// quietTime after the last fault lets the load end and late writes take effect.
-	quietTime = 12 * time.Second
+	// leaveLimit is the time after its reclaim notice from which an instance must not receive new requests.
+	leaveLimit = 3 * time.Second
+	// quiescePeriod is the time after the end of the load in which late writes take effect.
+	quiescePeriod = 12 * time.Second
 )
 
 // fault is one step of a schedule.
 type fault struct {
-	After  time.Duration // since the step before
+	After  time.Duration // since the previous step
 	Kind   string
 	Target int
-	For    time.Duration // the notice, or how long the fault lasts
-	Early  time.Duration // how long before the end of the notice the processes die
+	For    time.Duration // how long the fault lasts; for a reclaim, the notice period minus leaveLimit
+	Early  time.Duration // how long before the end of the notice period the processes die
 }
 
 var faultKinds = []string{
@@ -37,9 +37,9 @@
 	"store-refuses", "store-hangs", "store-loses", "store-late", "store-slow", "store-stale", "refuse-starts", "edit", "bad-edit",
 }
 
-// atMost bounds faults that no promise covers more often: a response has two copies, a request that is on two servers
-// which crash is refused as their cause, and some servers must remain.
-var atMost = map[string]int{"kill-node": 1, "drain-node": 1, "reclaim-domain": 1, "pause-node": 1, "cut-node": 1, "crash": 1, "reclaim-server": 2}
+// maxFaults limits the faults that the guarantees cover only up to a number: a response has two copies, a request that
+// runs on two servers when they crash is refused as the suspected cause, and some servers must remain.
+var maxFaults = map[string]int{"kill-node": 1, "drain-node": 1, "reclaim-domain": 1, "pause-node": 1, "cut-node": 1, "crash": 1, "reclaim-server": 2}
 
 func drawFault(rt *rapid.T) fault {
 	milliseconds := func(name string, low, high int) time.Duration {
@@ -54,58 +54,59 @@
 	}
 }
 
-// Guards against a promise that holds for each part but not for the whole cluster: random schedules of faults while
-// streams, bookings and lookups run. A failing schedule is printed with its seed and replays by -rapid.seed.
-func TestPromisesUnderRandomFaults(t *testing.T) {
+// Guards against faults under which the whole cluster breaks a guarantee although each component keeps it: runs random
+// fault schedules under a load of streams, bookings and lookups. A failing schedule is printed with its seed;
+// -rapid.seed replays it.
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	_ = flag.Set("rapid.checks", fmt.Sprint(*schedules))
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(1, 1<<32).Draw(rt, "seed")
 		faults := rapid.SliceOfN(rapid.Custom(drawFault), 2, 8).Draw(rt, "faults")
 		synctest.Test(t, func(*testing.T) {
-			if err := playSchedule(seed, faults); err != nil {
+			if err := runSchedule(seed, faults); err != nil {
 				rt.Errorf("%v", err)
 			}
 		})
 	})
 }
 
-// run is one schedule on a cluster under load.
-type run struct {
+// faultRun is one run of a fault schedule on a cluster under load.
+type faultRun struct {
 	*cluster
 	load       *mixedLoad
-	used       map[string]int
+	applied    map[string]int
 	violations chan string
-	found      []string
-	// deafUntil is when the last paused or cut node heard of the others again.
-	deafUntil time.Time
-	decreased func() []string
+	collected  []string
+	// isolatedUntil is when the last paused or cut-off node can receive messages from the others again.
+	isolatedUntil time.Time
+	stopWatching  func() []string
 }
 
-func playSchedule(seed uint64, faults []fault) error {
+func runSchedule(seed uint64, faults []fault) error {
 	c, err := newCluster(clusterOptions{Seed: seed, ServiceDelay: 300 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	defer c.stop()
-	r := &run{cluster: c, used: map[string]int{}, violations: make(chan string, 100), decreased: c.watchVersions()}
-	r.load = startLoad(c, r.violations)
+	r := &faultRun{cluster: c, applied: map[string]int{}, violations: make(chan string, 100), stopWatching: c.watchVersions()}
+	r.load = startMixedLoad(c, r.violations)
 	for i, f := range faults {
 		time.Sleep(f.After)
 		r.apply(f)
 		r.check(fmt.Sprintf("after step %d (%s)", i+1, f.Kind))
 	}
-	time.Sleep(6 * time.Second) // the longest fault ends
+	time.Sleep(6 * time.Second) // until the longest fault has ended
 	c.platform.HealStore()
 	r.load.stop()
 	r.check("after the load")
-	time.Sleep(quietTime)
+	time.Sleep(quiescePeriod)
 	r.check("at the end")
 	r.load.checkBookings(r)
-	for _, node := range r.decreased() {
-		r.violation("the configuration version of %s has decreased", node)
+	for _, node := range r.stopWatching() {
+		r.report("the configuration version of %s has decreased", node)
 	}
 	r.check("versions")
-	return errors.Join(asErrors(r.found)...)
+	return errors.Join(asErrors(r.collected)...)
 }
 
 func asErrors(texts []string) []error {
@@ -116,26 +117,26 @@
 	return out
 }
 
-func (r *run) violation(format string, args ...any) { r.violations <- fmt.Sprintf(format, args...) }
+func (r *faultRun) report(format string, args ...any) { r.violations <- fmt.Sprintf(format, args...) }
 
-// check collects violations of the promises.
-func (r *run) check(when string) {
+// check collects the violations found so far, up to ten in all.
+func (r *faultRun) check(when string) {
 	for _, key := range r.runs.Repeated() {
-		r.violation("%s ran %d times", key, r.runs.Count(key))
+		r.report("%s ran %d times", key, r.runs.Count(key))
 	}
 	for len(r.violations) > 0 {
 		text := <-r.violations
-		if len(r.found) < 10 {
-			r.found = append(r.found, when+": "+text)
+		if len(r.collected) < 10 {
+			r.collected = append(r.collected, when+": "+text)
 		}
 	}
 }
 
-func (r *run) apply(f fault) {
-	if limit, limited := atMost[f.Kind]; limited && r.used[f.Kind] >= limit {
+func (r *faultRun) apply(f fault) {
+	if limit, limited := maxFaults[f.Kind]; limited && r.applied[f.Kind] >= limit {
 		return
 	}
-	r.used[f.Kind]++
+	r.applied[f.Kind]++
 	switch f.Kind {
 	case "reclaim-server", "reclaim-domain":
 		r.reclaim(f)
@@ -150,7 +151,7 @@
 		r.platform.Cloud.RefuseStarts("", "", true)
 		time.AfterFunc(f.For, func() { r.platform.Cloud.RefuseStarts("", "", false) })
 	case "edit":
-		r.folder.EditFile("90-edit.json", workspaceFile(fmt.Sprint("edit-", r.used[f.Kind])))
+		r.folder.EditFile("90-edit.json", workspaceFile(fmt.Sprint("edit-", r.applied[f.Kind])))
 	case "bad-edit":
 		r.folder.EditFile("91-bad.json", []byte(`{"workspaces":"none"}`))
 		time.AfterFunc(f.For, func() { r.folder.EditFile("91-bad.json", nil) })
@@ -159,7 +160,7 @@
 	}
 }
 
-func (r *run) storeFault(f fault) {
+func (r *faultRun) storeFault(f fault) {
 	switch f.Kind {
 	case "store-refuses":
 		r.platform.StoreOutage(table.Refusing)
@@ -177,7 +178,7 @@
 	time.AfterFunc(f.For, r.platform.HealStore)
 }
 
-func (r *run) serverFault(f fault) {
+func (r *faultRun) serverFault(f fault) {
 	name := fmt.Sprintf("engine-%d", f.Target%8)
 	if f.Target >= 8 {
 		name = fmt.Sprintf("service-%d", f.Target%8)
@@ -195,44 +196,44 @@
 	}
 }
 
-func (r *run) nodeFault(f fault) {
+func (r *faultRun) nodeFault(f fault) {
 	n := r.nodes[f.Target%len(r.nodes)]
 	switch f.Kind {
 	case "kill-node":
 		n.kill()
 	case "drain-node":
-		r.load.leaves(n.settings.Node)
+		r.load.markLeaving(n.settings.Node)
 		n.drain()
 	case "pause-node":
-		r.deaf(f.For)
+		r.markIsolated(f.For)
 		n.process.pause()
 		time.AfterFunc(f.For, n.process.resume)
 	case "cut-node":
-		r.deaf(f.For)
-		r.mesh.setCut(n.settings.Node, true)
-		time.AfterFunc(f.For, func() { r.mesh.setCut(n.settings.Node, false) })
+		r.markIsolated(f.For)
+		r.mesh.setPartitioned(n.settings.Node, true)
+		time.AfterFunc(f.For, func() { r.mesh.setPartitioned(n.settings.Node, false) })
 	}
 }
 
-func (r *run) deaf(d time.Duration) {
-	if until := time.Now().Add(d); until.After(r.deafUntil) {
-		r.deafUntil = until
+func (r *faultRun) markIsolated(d time.Duration) {
+	if until := time.Now().Add(d); until.After(r.isolatedUntil) {
+		r.isolatedUntil = until
 	}
 }
 
-// reclaim gives notice, and lets the servers die early. Notices of entry nodes are kept to their end and are long
-// enough for a handover.
-func (r *run) reclaim(f fault) {
-	notice := f.For + leaveBound
-	var told []string
+// reclaim sends reclaim notices and crashes the servers before the notice period ends. Entry nodes keep the full notice
+// period, which is long enough for a handover.
+func (r *faultRun) reclaim(f fault) {
+	notice := f.For + leaveLimit
+	var notified []string
 	if f.Kind == "reclaim-domain" {
-		told = r.platform.Cloud.ReclaimDomain(domain(f.Target), notice, true)
+		notified = r.platform.Cloud.ReclaimDomain(domain(f.Target), notice, true)
 	} else {
-		told = r.platform.Cloud.Reclaim(notice, fmt.Sprintf([]string{"engine-%d", "service-%d"}[f.Target/8], f.Target%8))
+		notified = r.platform.Cloud.Reclaim(notice, fmt.Sprintf([]string{"engine-%d", "service-%d"}[f.Target/8], f.Target%8))
 	}
-	for _, name := range told {
+	for _, name := range notified {
 		if strings.HasPrefix(name, "entry") {
-			r.load.leaves(name)
+			r.load.markLeaving(name)
 			continue
 		}
 		time.AfterFunc(notice-f.Early, r.server(name).Crash)
@@ -240,21 +241,21 @@
 	}
 }
 
-// watchLeaving checks that a server gets no new requests from the bound until it dies. A node that cannot hear others
-// has the same time from when it hears again.
-func (r *run) watchLeaving(name string, dies time.Time) {
-	work := func() uint64 {
+// watchLeaving checks that a server gets no new requests from leaveLimit after its notice until it dies. For nodes that
+// are paused or cut off, leaveLimit starts when they can receive messages again.
+func (r *faultRun) watchLeaving(name string, dies time.Time) {
+	runCount := func() uint64 {
 		if e, ok := r.engines[name]; ok {
 			return e.Stats().Runs
 		}
 		return uint64(r.serviceRuns(name))
 	}
-	time.AfterFunc(leaveBound, func() {
-		time.Sleep(time.Until(r.deafUntil.Add(leaveBound)))
-		before := work()
+	time.AfterFunc(leaveLimit, func() {
+		time.Sleep(time.Until(r.isolatedUntil.Add(leaveLimit)))
+		before := runCount()
 		time.Sleep(time.Until(dies) - time.Millisecond)
-		if n := work() - before; n > 0 {
-			r.violation("%s received %d requests later than %v after its notice", name, n, leaveBound)
+		if n := runCount() - before; n > 0 {
+			r.report("%s received %d requests later than %v after its notice", name, n, leaveLimit)
 		}
 	})
 }
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -13,7 +13,8 @@
 	"github.com/pollenlug/pollenlug/internal/standin/table"
 )
 
-// transcript is what a session's callers saw, without what may differ from run to run: names, ids and exact times.
+// transcript records what the callers in a scenario observe, without what may differ from run to run, such as names,
+// ids and exact times.
 type transcript struct {
 	t     *testing.T
 	lines strings.Builder
@@ -23,17 +24,17 @@
 	fmt.Fprintf(&s.lines, "# "+format+"\n", args...)
 }
 
-func (s *transcript) saw(format string, args ...any) {
+func (s *transcript) observe(format string, args ...any) {
 	fmt.Fprintf(&s.lines, "  "+format+"\n", args...)
 }
 
-// end reads a stream to its end and tells which tokens came.
-func (s *transcript) end(name string, r *stream, p prompt) {
+// finishStream reads a stream to its end and records whether its tokens are the expected ones.
+func (s *transcript) finishStream(name string, r *stream, p prompt) {
 	if err := r.finish(); err != nil {
-		s.saw("%s: LOST: %v", name, err)
+		s.observe("%s: LOST: %v", name, err)
 		return
 	}
-	s.saw("%s: %d tokens, equal to the fault-free answer: %v, end mark: %v", name, r.tokens, r.check(p) == nil, r.done)
+	s.observe("%s: %d tokens, equal to the fault-free response: %v, end marker: %v", name, r.tokens, r.check(p) == nil, r.done)
 }
 
 func (s *transcript) assert(name string) { golden.Assert(s.t, s.lines.String(), name+".golden") }
@@ -45,7 +46,7 @@
 	return r
 }
 
-// busyEngine returns the engine that runs requests.
+// busyEngine returns the name of an engine that runs requests.
 func (c *cluster) busyEngine(t *testing.T) string {
 	t.Helper()
 	for name, e := range c.engines {
@@ -57,7 +58,7 @@
 	return ""
 }
 
-// domainOf returns the failure domain of a server or node whose name ends in its number.
+// domainOf returns the failure domain of a server, whose name ends in its number.
 func domainOf(name string) string {
 	var i int
 	_, _ = fmt.Sscanf(name[strings.LastIndexByte(name, '-')+1:], "%d", &i)
@@ -66,64 +67,64 @@
 
 var longPrompt = prompt{text: "Write the heritage report of the weather vane", tokens: 300, seed: 11}
 
-// Guards against an accepted answer that is lost, cut or changed when its server, and then the whole failure domain
-// of the next one, is reclaimed and the processes die before their notice ends.
-func TestSessionOfReclaims(t *testing.T) {
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+// Guards against an accepted response that is lost, truncated or changed when its server, and then the whole failure
+// domain of the next server, is reclaimed and the processes die before their notice period ends.
+func TestReclaimScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		s.step("entry-1 accepts a stream of %d tokens", longPrompt.tokens)
 		r := c.mustOpen(t, 0, longPrompt)
-		s.saw("20 tokens arrive: %v", r.read(20))
+		s.observe("20 tokens arrive: %v", r.read(20))
 
 		first := c.busyEngine(t)
 		c.platform.Cloud.Reclaim(3*time.Second, first)
 		s.step("its server gets 3 s of notice and dies after 1 s")
 		time.AfterFunc(time.Second, c.engines[first].Crash)
-		s.saw("120 tokens arrive: %v", r.read(120))
+		s.observe("120 tokens arrive: %v", r.read(120))
 
 		second := c.busyEngine(t)
-		s.saw("the stream runs elsewhere: %v", second != first)
+		s.observe("the stream runs elsewhere: %v", second != first)
 		s.step("the failure domain of that server gets 3 s of notice; its servers die after 0.5 s")
 		for _, name := range c.platform.Cloud.ReclaimDomain(domainOf(second), 3*time.Second, true) {
 			if victim := c.server(name); !strings.HasPrefix(name, "entry") {
 				time.AfterFunc(500*time.Millisecond, victim.Crash)
 			}
 		}
-		s.end("caller", r, longPrompt)
+		s.finishStream("caller", r, longPrompt)
 		s.assert("reclaims")
 	})
 }
 
-// Guards against tokens of an old attempt in an answer, or an answer that reaches another caller: the old server and
-// the old home go on after a newer attempt began, and two callers ask the same.
-func TestSessionOfLateAndCrossedAnswers(t *testing.T) {
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+// Guards against tokens of an old attempt in a response, and a response that reaches the wrong caller: the old servers
+// and the old home node continue after a newer attempt has begun, and two callers send the same request.
+func TestLateAndCrossedResponseScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		other := longPrompt
 		other.seed, other.tokens = 12, 200
-		s.step("two callers send the same prompt with different seeds to entry-1, a third the first one's request to entry-2")
+		s.step("two callers send the same prompt with different seeds to entry-1, a third sends the first caller's request to entry-2")
 		a, b, same := c.mustOpen(t, 0, longPrompt), c.mustOpen(t, 0, other), c.mustOpen(t, 1, longPrompt)
-		s.saw("three responses: %v", a.id != b.id && b.id != same.id && a.id != same.id)
-		s.saw("10 tokens each: %v %v %v", a.read(10), b.read(10), same.read(10))
+		s.observe("three responses: %v", a.id != b.id && b.id != same.id && a.id != same.id)
+		s.observe("10 tokens each: %v %v %v", a.read(10), b.read(10), same.read(10))
 
-		s.step("all busy servers freeze for 8 s, then go on with their old attempts")
+		s.step("all busy servers freeze for 8 s, then continue their old attempts")
 		for name, e := range c.engines {
 			if e.Running() > 0 {
 				c.engines[name].Freeze()
 				time.AfterFunc(8*time.Second, e.Unfreeze)
 			}
 		}
-		s.saw("100 tokens each: %v %v %v", a.read(100), b.read(100), same.read(100))
+		s.observe("100 tokens each: %v %v %v", a.read(100), b.read(100), same.read(100))
 
-		s.step("entry-1 pauses; its callers resume elsewhere; after 4 s it goes on as if it were still the home")
+		s.step("entry-1 pauses; its callers resume elsewhere; after 4 s it continues as if it were still the home node")
 		c.nodes[0].process.pause()
 		time.AfterFunc(4*time.Second, c.nodes[0].process.resume)
 		a.node, b.node = 0, 0
-		assert.NilError(t, a.resume(time.Now().Add(resumeLimit)))
-		assert.NilError(t, b.resume(time.Now().Add(resumeLimit)))
-		s.end("first caller", a, longPrompt)
-		s.end("second caller", b, other)
-		s.end("third caller", same, longPrompt)
+		assert.NilError(t, a.resume(time.Now().Add(resumeTimeout)))
+		assert.NilError(t, b.resume(time.Now().Add(resumeTimeout)))
+		s.finishStream("first caller", a, longPrompt)
+		s.finishStream("second caller", b, other)
+		s.finishStream("third caller", same, longPrompt)
 
 		time.Sleep(5 * time.Second)
 		s.step("each resumes from the start on every node")
@@ -132,33 +133,33 @@
 				again := &stream{caller: newCaller(c), node: node}
 				refused := again.connect(request{method: "GET", path: "/v1/responses/" + []string{a.id, b.id}[i]})
 				if refused != nil {
-					s.saw("entry-%d: %v", node+1, refused)
+					s.observe("entry-%d: %v", node+1, refused)
 					continue
 				}
-				s.end(fmt.Sprintf("response %d on entry-%d", i+1, node+1), again, p)
+				s.finishStream(fmt.Sprintf("response %d on entry-%d", i+1, node+1), again, p)
 			}
 		}
 		s.assert("late-and-crossed")
 	})
 }
 
-// booked tells what the caller of a booking saw and how often the key ran.
-func (s *transcript) booked(c *cluster, name string, a answer, key string) {
-	s.saw("%s: %v, runs so far: %d", name, a, c.runs.Count("shop/"+key))
+// observeBooking records the response to a booking and how often its key has run.
+func (s *transcript) observeBooking(c *cluster, name string, res response, key string) {
+	s.observe("%s: %v, runs so far: %d", name, res, c.runs.Count("shop/"+key))
 }
 
-// Guards against ran:"no" for a call that runs later or that blocks its key: the store loses answers, writes late or
-// is down.
-func TestSessionOfNotRun(t *testing.T) {
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+// Guards against ran:"no" for a call that runs later or whose key stays blocked, while the store loses responses,
+// applies writes late, or is slow or down.
+func TestNotRunScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		caller := newCaller(c)
 		for _, f := range []struct {
 			name, key string
-			begin     func()
+			inject    func()
 		}{
-			{"the store loses all answers to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
-			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
+			{"the store loses all responses to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
+			{"the store loses all responses and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
 			{"all writes take effect up to 2 s late", "late-a", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 2 s late, another booking", "late-b", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 10 s late", "later", func() { c.platform.LateWrites(100, 10*time.Second) }},
@@ -167,33 +168,33 @@
 			{"the store takes 2 s for each call", "slow", func() { c.platform.StoreSlow(2*time.Second, 2*time.Second) }},
 		} {
 			s.step("%s", f.name)
-			f.begin()
+			f.inject()
 			begin := time.Now()
 			first := caller.book(0, f.key, "deposit")
-			s.booked(c, "booking", first, f.key)
-			s.saw("answered within 300 ms: %v", time.Since(begin) <= 300*time.Millisecond)
+			s.observeBooking(c, "booking", first, f.key)
+			s.observe("answered within 300 ms: %v", time.Since(begin) <= 300*time.Millisecond)
 			time.Sleep(5 * time.Second)
-			s.saw("runs 5 s later: %d", c.runs.Count("shop/"+f.key))
+			s.observe("runs 5 s later: %d", c.runs.Count("shop/"+f.key))
 			c.platform.HealStore()
 			time.Sleep(10 * time.Second)
-			s.saw("runs 10 s after the store has recovered: %d", c.runs.Count("shop/"+f.key))
-			s.booked(c, "resend to another node", caller.book(1, f.key, "deposit"), f.key)
+			s.observe("runs 10 s after the store has recovered: %d", c.runs.Count("shop/"+f.key))
+			s.observeBooking(c, "resend to another node", caller.book(1, f.key, "deposit"), f.key)
 		}
-		s.step("all writes take effect up to 10 s late, and the node that gave the booking up dies before the resend")
+		s.step("all writes take effect up to 10 s late, and the node that gave up the booking dies before the resend")
 		c.platform.LateWrites(100, 10*time.Second)
-		s.booked(c, "booking", caller.book(3, "later", "deposit"), "later")
-		s.booked(c, "booking with a new key", caller.book(3, "given-up", "deposit"), "given-up")
+		s.observeBooking(c, "booking", caller.book(3, "later", "deposit"), "later")
+		s.observeBooking(c, "booking with a new key", caller.book(3, "given-up", "deposit"), "given-up")
 		time.Sleep(5 * time.Second)
 		c.platform.HealStore()
 		time.Sleep(15 * time.Second)
 		c.nodes[3].kill()
-		s.booked(c, "resend to another node", caller.book(1, "given-up", "deposit"), "given-up")
-		s.saw("keys that ran more than once: %v", c.runs.Repeated())
+		s.observeBooking(c, "resend to another node", caller.book(1, "given-up", "deposit"), "given-up")
+		s.observe("keys that ran more than once: %v", c.runs.Repeated())
 		s.assert("not-run")
 	})
 }
 
-// awaitDispatched returns when the table has the row of a booking.
+// awaitDispatched returns when the table has the claim row of a booking.
 func (c *cluster) awaitDispatched(t *testing.T, key string) {
 	t.Helper()
 	for range 1000 {
@@ -216,101 +217,102 @@
 	t.Fatal("no run of " + key)
 }
 
-// Guards against a booking that runs twice: two nodes at once, a holder that pauses between claim and send, a node
-// that is killed after the dispatch, lost answers, and resends after each.
-func TestSessionOfBookings(t *testing.T) {
-	inCluster(t, clusterOptions{ServiceDelay: time.Second}, func(t *testing.T, c *cluster) {
+// Guards against a booking that runs twice: it is sent to two nodes at the same time, the node that holds the claim
+// pauses before it sends the call, a node is killed before or after it has sent it, or responses are lost. In each case
+// the booking is sent again.
+func TestBookingScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{ServiceDelay: time.Second}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		caller := newCaller(c)
 		s.step("the same booking reaches two nodes at the same time")
-		answers := make(chan answer, 2)
+		responses := make(chan response, 2)
 		for node := range 2 {
-			go func() { answers <- caller.book(node, "both", "deposit") }()
+			go func() { responses <- caller.book(node, "both", "deposit") }()
 		}
-		x, y := <-answers, <-answers
+		x, y := <-responses, <-responses
 		if x.String() > y.String() {
 			x, y = y, x
 		}
-		s.booked(c, "one", x, "both")
-		s.booked(c, "the other", y, "both")
-		s.booked(c, "resend to a third node", caller.book(2, "both", "deposit"), "both")
-		s.booked(c, "resend with another body", caller.book(2, "both", "other"), "both")
+		s.observeBooking(c, "one", x, "both")
+		s.observeBooking(c, "the other", y, "both")
+		s.observeBooking(c, "resend to a third node", caller.book(2, "both", "deposit"), "both")
+		s.observeBooking(c, "resend with another body", caller.book(2, "both", "other"), "both")
 
 		s.step("the holder pauses for 10 s between claim and send")
 		c.platform.StoreSlow(20*time.Millisecond, 20*time.Millisecond)
-		go func() { answers <- caller.book(0, "paused", "deposit") }()
+		go func() { responses <- caller.book(0, "paused", "deposit") }()
 		c.awaitDispatched(t, "paused")
 		c.nodes[0].process.pause()
-		s.booked(c, "resend to another node", caller.book(1, "paused", "deposit"), "paused")
+		s.observeBooking(c, "resend to another node", caller.book(1, "paused", "deposit"), "paused")
 		time.Sleep(10 * time.Second)
-		s.saw("runs during the pause: %d", c.runs.Count("shop/paused"))
+		s.observe("runs during the pause: %d", c.runs.Count("shop/paused"))
 		c.nodes[0].process.resume()
-		s.booked(c, "the holder's caller, after the pause", <-answers, "paused")
+		s.observeBooking(c, "the holder's caller, after the pause", <-responses, "paused")
 		time.Sleep(5 * time.Second)
-		s.booked(c, "resend to another node", caller.book(1, "paused", "deposit"), "paused")
+		s.observeBooking(c, "resend to another node", caller.book(1, "paused", "deposit"), "paused")
 
 		s.step("all services close the connection after the run")
 		for _, v := range c.services {
 			v.SetDrops(0, 1)
 		}
-		s.booked(c, "booking", caller.book(2, "dropped", "deposit"), "dropped")
+		s.observeBooking(c, "booking", caller.book(2, "dropped", "deposit"), "dropped")
 		for _, v := range c.services {
 			v.SetDrops(0, 0)
 		}
-		s.booked(c, "resend to another node", caller.book(1, "dropped", "deposit"), "dropped")
+		s.observeBooking(c, "resend to another node", caller.book(1, "dropped", "deposit"), "dropped")
 
 		s.step("the node is killed while the service runs the booking")
-		go func() { answers <- caller.book(0, "killed", "deposit") }()
+		go func() { responses <- caller.book(0, "killed", "deposit") }()
 		c.awaitRun(t, "killed")
 		c.nodes[0].kill()
-		s.booked(c, "caller of the killed node", <-answers, "killed")
-		s.booked(c, "resend to another node at once", caller.book(1, "killed", "deposit"), "killed")
+		s.observeBooking(c, "caller of the killed node", <-responses, "killed")
+		s.observeBooking(c, "resend to another node at once", caller.book(1, "killed", "deposit"), "killed")
 		time.Sleep(10 * time.Second)
-		s.booked(c, "resend to another node 10 s later", caller.book(2, "killed", "deposit"), "killed")
+		s.observeBooking(c, "resend to another node 10 s later", caller.book(2, "killed", "deposit"), "killed")
 
 		s.step("the node is killed between claim and send")
-		go func() { answers <- caller.book(3, "unsent", "deposit") }()
+		go func() { responses <- caller.book(3, "unsent", "deposit") }()
 		c.awaitDispatched(t, "unsent")
 		c.nodes[3].kill()
-		s.booked(c, "caller of the killed node", <-answers, "unsent")
+		s.observeBooking(c, "caller of the killed node", <-responses, "unsent")
 		time.Sleep(10 * time.Second)
-		s.booked(c, "resend to another node 10 s later", caller.book(1, "unsent", "deposit"), "unsent")
-		s.saw("keys that ran more than once: %v", c.runs.Repeated())
+		s.observeBooking(c, "resend to another node 10 s later", caller.book(1, "unsent", "deposit"), "unsent")
+		s.observe("keys that ran more than once: %v", c.runs.Repeated())
 		s.assert("bookings")
 	})
 }
 
-// Guards against new work on a leaving server or node later than 3 s after the notice.
-func TestSessionOfLeaving(t *testing.T) {
-	inCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
+// Guards against new requests on a leaving server or node later than 3 s after its notice.
+func TestLeavingScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		const notice = 30 * time.Second
 		s.step("engine-0, service-0 and entry-2 get 30 s of notice, under load on all nodes")
-		stop := c.load()
+		stop := c.startLoad()
 		time.Sleep(2 * time.Second)
-		s.saw("engine-0 and service-0 have work: %v %v", c.engines["engine-0"].Stats().Runs > 0, c.serviceRuns("service-0") > 0)
+		s.observe("engine-0 and service-0 have run requests: %v %v", c.engines["engine-0"].Stats().Runs > 0, c.serviceRuns("service-0") > 0)
 		c.platform.Cloud.Reclaim(notice, "engine-0", "service-0", "entry-2")
 		time.Sleep(1900 * time.Millisecond)
 		s.step("1.9 s after the notice")
-		s.saw("nodes that list entry-2: %v", c.listing(1))
+		s.observe("nodes that list entry-2: %v", c.nodesListing(1))
 		time.Sleep(1100 * time.Millisecond)
 		engineRuns, serviceRuns := c.engines["engine-0"].Stats().Runs, c.serviceRuns("service-0")
 		s.step("3 s after the notice")
 		caller := newCaller(c)
-		s.saw("prompt to entry-2: %v", caller.do(1, request{method: "POST", path: "/v1/completions", body: longPrompt.body(false)}))
-		s.saw("booking to entry-2: %v", caller.book(1, "left", "deposit"))
-		s.saw("nodes that list entry-2: %v", c.listing(1))
+		s.observe("prompt to entry-2: %v", caller.do(1, request{method: "POST", path: "/v1/completions", body: longPrompt.body(false)}))
+		s.observe("booking to entry-2: %v", caller.book(1, "left", "deposit"))
+		s.observe("nodes that list entry-2: %v", c.nodesListing(1))
 		time.Sleep(15 * time.Second)
 		s.step("18 s after the notice")
-		s.saw("new requests on engine-0: %d, on service-0: %d", c.engines["engine-0"].Stats().Runs-engineRuns, c.serviceRuns("service-0")-serviceRuns)
+		s.observe("new requests on engine-0: %d, on service-0: %d", c.engines["engine-0"].Stats().Runs-engineRuns, c.serviceRuns("service-0")-serviceRuns)
 		served, failed := stop()
-		s.saw("load went on: %v, failed answers: %v", served > 500, failed)
+		s.observe("load continued: %v, failed requests: %v", served > 500, failed)
 		s.assert("leaving")
 	})
 }
 
-// listing returns the nodes that send callers to a node.
-func (c *cluster) listing(node int) []string {
+// nodesListing returns the names of the nodes whose entry list contains the given node.
+func (c *cluster) nodesListing(node int) []string {
 	var out []string
 	for i, n := range c.nodes {
 		entries := newCaller(c).do(i, request{method: "GET", path: "/v1/entries"})
@@ -331,24 +333,25 @@
 	return n
 }
 
-// load sends lookups and short prompts to all nodes until stop, which returns how many were served and what failed.
-func (c *cluster) load() (stop func() (served int, failed []string)) {
+// startLoad sends lookups and short prompts to all nodes until stop, which returns the number of requests served and
+// the distinct failures.
+func (c *cluster) startLoad() (stop func() (served int, failed []string)) {
 	quit := make(chan struct{})
-	results := make(chan answer)
+	results := make(chan response)
 	for node := range c.nodes {
 		for kind := range 2 {
 			go func() {
 				caller := newCaller(c)
 				for i := 0; ; i++ {
-					var a answer
+					var res response
 					if kind == 0 {
-						a = caller.look(node)
+						res = caller.lookUp(node)
 					} else {
 						p := prompt{text: fmt.Sprintf("note %d of %d", i, node), tokens: 5}
-						a = caller.do(node, request{method: "POST", path: "/v1/completions", body: p.body(false)})
+						res = caller.do(node, request{method: "POST", path: "/v1/completions", body: p.body(false)})
 					}
 					select {
-					case results <- a:
+					case results <- res:
 					case <-quit:
 						return
 					}
@@ -362,11 +365,11 @@
 		served, failed := 0, map[string]bool{}
 		for {
 			select {
-			case a := <-results:
-				if a.err == nil && a.status == 200 {
+			case res := <-results:
+				if res.err == nil && res.status == 200 {
 					served++
-				} else if a.location == "" && a.err == nil {
-					failed[a.String()] = true
+				} else if res.location == "" && res.err == nil {
+					failed[res.String()] = true
 				}
 			case sum <- func() (int, []string) { return served, sortedKeys(failed) }:
 				return
@@ -379,35 +382,35 @@
 	}
 }
 
-// Guards against a SIGTERM that cuts off what is in progress: a stream, a whole answer, a booking.
-func TestSessionOfDrain(t *testing.T) {
-	inCluster(t, clusterOptions{ServiceDelay: 2 * time.Second}, func(t *testing.T, c *cluster) {
+// Guards against a SIGTERM that cuts off requests in progress: a stream, a non-streamed response and a booking.
+func TestDrainScenario(t *testing.T) {
+	runWithCluster(t, clusterOptions{ServiceDelay: 2 * time.Second}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		caller := newCaller(c)
-		whole := prompt{text: "Tag this ticket", tokens: 150, seed: 3}
-		s.step("entry-1 has a stream, a whole answer and a booking in progress")
+		fullPrompt := prompt{text: "Tag this ticket", tokens: 150, seed: 3}
+		s.step("entry-1 has a stream, a non-streamed response and a booking in progress")
 		r := c.mustOpen(t, 0, longPrompt)
-		wholes, bookings := make(chan answer, 1), make(chan answer, 1)
+		fullResponses, bookingResponses := make(chan response, 1), make(chan response, 1)
 		go func() {
-			wholes <- caller.do(0, request{method: "POST", path: "/v1/completions", body: whole.body(false)})
+			fullResponses <- caller.do(0, request{method: "POST", path: "/v1/completions", body: fullPrompt.body(false)})
 		}()
-		go func() { bookings <- caller.book(0, "drain", "deposit") }()
+		go func() { bookingResponses <- caller.book(0, "drain", "deposit") }()
 		r.read(20)
 		s.step("SIGTERM")
 		c.nodes[0].drain()
 		time.Sleep(100 * time.Millisecond)
-		s.saw("new stream: %v", caller.do(0, request{method: "POST", path: "/v1/completions", body: whole.body(true)}))
-		s.saw("new booking: %v", caller.book(0, "new", "deposit"))
-		s.booked(c, "booking in progress", <-bookings, "drain")
-		a := <-wholes
+		s.observe("new stream: %v", caller.do(0, request{method: "POST", path: "/v1/completions", body: fullPrompt.body(true)}))
+		s.observe("new booking: %v", caller.book(0, "new", "deposit"))
+		s.observeBooking(c, "booking in progress", <-bookingResponses, "drain")
+		full := <-fullResponses
 		var body struct{ Choices []struct{ Text string } }
-		complete := json.Unmarshal([]byte(a.body), &body) == nil && body.Choices[0].Text == whole.answer()
-		s.saw("whole answer in progress: %v, equal to the fault-free answer: %v", a, complete)
-		s.saw("the process still runs: %v", !c.nodes[0].exited())
-		s.end("stream in progress", r, longPrompt)
-		s.saw("the stream stayed on its connection: %v", r.resumes == 0)
+		complete := json.Unmarshal([]byte(full.body), &body) == nil && body.Choices[0].Text == fullPrompt.expectedText()
+		s.observe("non-streamed response in progress: %v, equal to the fault-free response: %v", full, complete)
+		s.observe("the process still runs: %v", !c.nodes[0].exited())
+		s.finishStream("stream in progress", r, longPrompt)
+		s.observe("the stream stayed on its connection: %v", r.resumes == 0)
 		<-c.nodes[0].done
-		s.saw("the process has ended, error: %v", c.nodes[0].err)
+		s.observe("the process has ended, error: %v", c.nodes[0].err)
 		s.assert("drain")
 	})
 }
