--- a/pkg/placement/admit.go
+++ b/pkg/placement/admit.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// lateFactor is how far beyond its target a request of the most urgent rank may be expected; less urgent ones give
-	// way earlier, so that at the worst load the work left is that which matters most.
+	// lateFactor is the longest acceptable expected latency of a request with the most urgent priority, as a multiple of
+	// its target. Less urgent requests are refused earlier, so that overload sheds the least important work first.
 	lateFactor = 1.6
-	// lateStep is what each rank takes off the factor.
+	// lateStep is subtracted from the factor for each step of lower priority.
 	lateStep = 0.3
-	// minLateFactor is the factor of the least urgent rank.
+	// minLateFactor is the factor of the lowest priority.
 	minLateFactor = 0.8
-	// minReturn keeps refused callers from returning before the load has changed.
-	minReturn = 150 * time.Millisecond
-	// maxReturn bounds the time after which a refused caller may return.
-	maxReturn = 3 * time.Second
+	// minRetryAfter keeps refused callers from retrying before the load has changed.
+	minRetryAfter = 150 * time.Millisecond
+	// maxRetryAfter is the upper bound of the retry time.
+	maxRetryAfter = 3 * time.Second
 )
 
 // Verdict is the decision on a request before it is sent.
 type Verdict struct {
 	Admit bool
-	// RetryAfter is when a refused request would be admitted if nothing else came.
+	// RetryAfter is the time after which a refused request would be admitted if no others arrived.
 	RetryAfter time.Duration
 }
 
-// Admit decides whether a request whose first event is expected after a time is worth sending.
+// Admit decides whether to send a request, given the expected time to its first event, the latency target, the remaining
+// time to its deadline and its priority, of which 0 is the most urgent.
 //
-// Load pattern: more arrives than the engines can read, for longer than any queue can hold. A request that will be late
-// anyway takes the engine's time from one that would be in time, until all are late. It is refused at once, before it
-// has cost anything, with the time at which the work ahead of it is done.
+// Load pattern: arrivals exceed the engines' prefill rate for longer than any queue can absorb. A request that will miss
+// its target anyway takes engine time from one that would meet it, until all are late. It is therefore refused at once,
+// before it has used any resources, with the time until the work ahead of it is done.
 func Admit(expected, target, remaining time.Duration, rank int) Verdict {
 	limit := time.Duration(float64(target) * max(minLateFactor, lateFactor-lateStep*float64(rank)))
 	if limit == 0 || remaining < limit {
@@ -36,5 +37,5 @@
 	if expected <= limit {
 		return Verdict{Admit: true}
 	}
-	return Verdict{RetryAfter: min(max(expected-limit, minReturn), maxReturn)}
+	return Verdict{RetryAfter: min(max(expected-limit, minRetryAfter), maxRetryAfter)}
 }
--- a/pkg/placement/cache.go
+++ b/pkg/placement/cache.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// cacheMemory is how long a part is assumed to stay cached after its last use.
-	cacheMemory = 30 * time.Second
-	// cacheEntries bounds the parts remembered for a server.
-	cacheEntries = 2000
+	// assumedCacheTTL is how long a part is assumed to stay cached after its last use.
+	assumedCacheTTL = 30 * time.Second
+	// maxCacheEntries is the approximate maximum number of parts tracked per server.
+	maxCacheEntries = 2000
 )
 
-// promptCache remembers which prompt parts this node has sent to a server.
+// promptCache holds the time at which this node last sent each prompt part to a server, by part id.
 type promptCache map[string]time.Time
 
 func newPromptCache() promptCache { return promptCache{} }
 
-// add remembers all parts of a prompt.
+// add records all parts of a prompt as used now.
 func (c promptCache) add(prompt []serving.PromptPart, now time.Time) {
-	if len(c) > cacheEntries {
+	if len(c) > maxCacheEntries {
 		for id, at := range c {
-			if now.Sub(at) > cacheMemory || len(c) > cacheEntries {
+			if now.Sub(at) > assumedCacheTTL || len(c) > maxCacheEntries {
 				delete(c, id)
 			}
 		}
@@ -32,11 +32,11 @@
 	}
 }
 
-// tokens returns the size of the leading parts that are cached: a part counts only when all before it do.
+// tokens returns the tokens of the cached prefix: a part counts only if all parts before it are cached.
 func (c promptCache) tokens(prompt []serving.PromptPart, now time.Time) float64 {
 	sum := 0
 	for i := range prompt {
-		if at, ok := c[prompt[i].ID]; !ok || now.Sub(at) > cacheMemory {
+		if at, ok := c[prompt[i].ID]; !ok || now.Sub(at) > assumedCacheTTL {
 			break
 		}
 		sum += prompt[i].Tokens
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,12 +1,12 @@
-// Package placement chooses the backend server of a request and decides whether to send it at all.
+// Package placement selects the backend server for a request and decides whether to send the request at all.
 //
-// A Board knows for each server what this node has in progress there and what the other nodes said lately. The
-// decisions are pure functions of such figures (see engine.go and plain.go), so that tests replay load patterns on them
-// without any server.
+// A Board tracks, for each server, the requests that this node has in flight and the loads that the other nodes last
+// reported. The decisions are pure functions of these loads (see engine.go and plain.go), so tests can replay load
+// patterns without any server.
 //
-// Reports of servers are some hundred milliseconds old and read by all nodes alike: whoever follows them sends
-// everything to one server until the next report. The Board therefore counts what nodes have sent and not finished,
-// which they tell each other several times a second.
+// Load reports of the servers themselves are some hundred milliseconds old and identical for all nodes: nodes that
+// followed them would all send to the same server until the next report. The Board therefore counts requests that
+// nodes have sent and not finished, which the nodes exchange several times a second.
 package placement
 
 import (
@@ -18,21 +18,22 @@
 )
 
 const (
-	// peerExpiry is how long the load told by another node counts. Its streams last seconds, its silence means trouble.
+	// peerExpiry is how long a load reported by another node is counted. The node's streams last for seconds, but a node
+	// that has not reported for this long is probably faulty.
 	peerExpiry = 2 * time.Second
-	// failureHalfLife is how fast failures of a server are forgiven.
+	// failureHalfLife is the half-life of a server's failure count.
 	failureHalfLife = 1500 * time.Millisecond
-	// latencyGain is the weight of one result in the mean latency of a server.
-	latencyGain = 0.1
+	// latencySampleWeight is the weight of a new sample in the moving average of a server's latency.
+	latencySampleWeight = 0.1
 )
 
-// Load is what one node has in progress on a server.
+// Load is the load that one node puts on a server.
 type Load struct {
-	// Running is the number of requests sent and not finished.
+	// Running is the number of requests in flight.
 	Running float64
-	// Prefill is the prompt tokens of requests without a first event that are not cached on the server.
+	// Prefill is the number of uncached prompt tokens of the requests that have had no event yet.
 	Prefill float64
-	// Failures is the decayed number of failures lately.
+	// Failures is the number of failures, decayed by failureHalfLife.
 	Failures float64
 }
 
@@ -42,24 +43,24 @@
 	l.Failures += o.Failures
 }
 
-// Board is one node's view of all servers.
+// Board is one node's view of all servers and their loads. It is safe for concurrent use.
 type Board struct {
 	mu      sync.Mutex
 	domain  string
 	servers map[string]*server
 	groups  map[string][]*server
 	peers   map[string]*peerLoads
-	// unseen is the number of unseen requests a server, by service; see SetUnseen.
-	unseen map[string]float64
+	// unreported is the number of unreported requests per server beyond unreportedTolerance, by service; see SetUnseen.
+	unreported map[string]float64
 }
 
 type server struct {
 	serving.Server
 	own       Load
 	failureAt time.Time // when own.Failures was last decayed
-	// latency is the mean time of a plain request; 0 until the first result.
+	// latency is the moving average of the duration of a plain request; 0 until the first result.
 	latency time.Duration
-	// slowness is how much longer than estimated an engine takes to its first event; 0 until the first result.
+	// slowness is the ratio of an engine's actual to its estimated time to first event; 0 until the first result.
 	slowness float64
 	cached   promptCache
 	// sentAt is when this node last sent a request here.
@@ -73,13 +74,14 @@
 	loads map[string]Load
 }
 
-// NewBoard returns a Board of a node in a failure domain.
+// NewBoard returns a Board for a node in the given failure domain.
 func NewBoard(domain string) *Board {
 	return &Board{domain: domain, servers: map[string]*server{}, groups: map[string][]*server{}, peers: map[string]*peerLoads{},
-		unseen: map[string]float64{}}
+		unreported: map[string]float64{}}
 }
 
-// SetServers replaces the set of servers. A server that has started anew under its id loses what was known of it.
+// SetServers replaces the set of servers. The state of a server that was restarted or has moved to another address is
+// discarded.
 func (b *Board) SetServers(servers []serving.Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,21 +110,22 @@
 	return out
 }
 
-// SetPeer takes the load that another node has in progress.
+// SetPeer stores the loads that another node has reported, by server id.
 func (b *Board) SetPeer(node string, loads map[string]Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peers[node] = &peerLoads{at: now, loads: loads}
 }
 
-// DropPeer forgets a node that is gone.
+// DropPeer removes the loads of a node that has left.
 func (b *Board) DropPeer(node string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.peers, node)
 }
 
-// Own returns what this node has in progress, for its peers; idle servers are left out.
+// Own returns this node's loads by server id, to be reported to its peers. Servers without requests in flight or recent
+// failures are left out.
 func (b *Board) Own(now time.Time) map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +146,7 @@
 	s.failureAt = now
 }
 
-// total is the load of a server over all nodes.
+// total returns the load of a server summed over all nodes.
 func (b *Board) total(s *server, now time.Time) Load {
 	s.decay(now)
 	sum := s.own
@@ -155,10 +158,10 @@
 	return sum
 }
 
-// Ticket is one request in progress on a server. Its methods may be called from several goroutines.
+// Ticket is one request in flight on a server. Its methods may be called from several goroutines.
 type Ticket struct {
 	Server serving.Server
-	// Expected is the estimated time to the first event or the answer.
+	// Expected is the estimated time to the first event of an engine or to the answer of a plain server.
 	Expected time.Duration
 
 	board   *Board
@@ -177,7 +180,7 @@
 	return &Ticket{Server: s.Server, Expected: expected, board: b, server: s, prefill: prefill, prompt: prompt, began: now}
 }
 
-// FirstEvent tells that the server has read the prompt.
+// FirstEvent records that the server has sent its first event and has thus processed the prompt.
 func (t *Ticket) FirstEvent(now time.Time) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
@@ -185,7 +188,7 @@
 		return
 	}
 	t.started = true
-	t.server.observe(now.Sub(t.began), t.Expected)
+	t.server.observeFirstEvent(now.Sub(t.began), t.Expected)
 	t.server.own.Prefill = max(0, t.server.own.Prefill-t.prefill)
 	t.server.cached.add(t.prompt, now)
 }
@@ -194,17 +197,17 @@
 type Outcome uint8
 
 const (
-	// Served means that the server gave a complete answer.
+	// Served means that the server returned a complete answer.
 	Served Outcome = iota
-	// Refused means that the server was full.
+	// Refused means that the server was at capacity.
 	Refused
 	// Failed means that the server or the connection failed.
 	Failed
-	// Abandoned says nothing about the server.
+	// Abandoned means that the request ended for a reason unrelated to the server.
 	Abandoned
 )
 
-// End ends the request. Further calls do nothing.
+// End records the end of the request. Further calls do nothing.
 func (t *Ticket) End(outcome Outcome, now time.Time) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
@@ -225,7 +228,7 @@
 		if s.latency == 0 {
 			s.latency = took
 		} else {
-			s.latency += time.Duration(latencyGain * float64(took-s.latency))
+			s.latency += time.Duration(latencySampleWeight * float64(took-s.latency))
 		}
 	case Refused:
 		s.fullAt = now
@@ -235,17 +238,18 @@
 	}
 }
 
-// Choice limits the servers that may be chosen.
+// Choice restricts the servers that may be selected.
 type Choice struct {
 	Service string
-	// Exclude lists servers that were tried already.
+	// Exclude lists the ids of servers that were already tried.
 	Exclude []string
-	// Allowed filters servers, for example those ejected for failures; nil allows all. Servers that are not allowed are
-	// used when no other is left.
+	// Allowed filters servers, for example to skip those ejected as outliers; nil allows all. Servers that are not
+	// allowed are used only when no other is left.
 	Allowed func(id string) bool
 }
 
-// candidates returns the ready servers of a choice; when none is allowed, all that were not tried.
+// candidates returns the allowed ready servers of a service without the excluded ones, or, when none of them is
+// allowed, all ready servers that are not excluded.
 func (b *Board) candidates(c Choice) []*server {
 	var allowed, others []*server
 	for _, s := range b.groups[c.Service] {
@@ -273,7 +277,7 @@
 	return false
 }
 
-// Hashes returns the ids of all servers by a hash, for messages that name servers briefly.
+// Hashes returns the ids of all servers by their hash, for messages that refer to servers by a short hash.
 func (b *Board) Hashes(hash func(id string) uint32) map[uint32]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -284,5 +288,5 @@
 	return out
 }
 
-// Prefill returns the prompt tokens that the server is expected to read for the request.
+// Prefill returns the estimated number of uncached prompt tokens that the server processes for the request.
 func (t *Ticket) Prefill() float64 { return t.prefill }
--- a/pkg/placement/plain.go
+++ b/pkg/placement/plain.go
@@ -7,47 +7,48 @@
 )
 
 const (
-	// plainLatency is the assumed time of a plain request until a server has answered some.
-	plainLatency = 50 * time.Millisecond
-	// failurePenalty is added for each recent failure of a server: a caller that hits a failing server loses its
-	// answer or a retry, which costs several times the usual answer.
+	// defaultPlainLatency is the assumed duration of a plain request on a server without results yet.
+	defaultPlainLatency = 50 * time.Millisecond
+	// failurePenalty is added for each recent failure of a server: a request to a failing server costs the caller its
+	// answer or a retry, which takes several times as long as a usual answer.
 	failurePenalty = 150 * time.Millisecond
-	// domainPenalty stands for the price and delay of bytes to another failure domain; it decides between equals only.
+	// domainPenalty accounts for the price and latency of traffic to another failure domain; it only breaks ties.
 	domainPenalty = time.Millisecond
-	// fullPenalty is added for a while to a server that has just refused a request as full.
-	fullPenalty = 100 * time.Millisecond
-	fullTime    = 200 * time.Millisecond
-	// minSpread breaks ties differently on each node.
-	minSpread = time.Millisecond
+	// fullPenalty is added for fullPenaltyDuration to the score of a server that has refused a request as full.
+	fullPenalty         = 100 * time.Millisecond
+	fullPenaltyDuration = 200 * time.Millisecond
+	// minJitter is the random part that breaks ties differently on each node.
+	minJitter = time.Millisecond
 )
 
-// plainScore estimates the time to the answer of one more request on a plain server with few slots.
+// plainScore estimates the response time of one more request on a plain server with few slots.
 //
 // Load pattern: servers with few slots and unequal speed get short requests from all nodes, and some of the servers
-// fail or hang. Least outstanding requests alone fills a failing server, which is always idle.
+// fail or hang. Least-outstanding-requests alone would prefer a failing server, since it is always idle.
 func plainScore(load Load, slots int, latency time.Duration) time.Duration {
 	if latency == 0 {
-		latency = plainLatency
+		latency = defaultPlainLatency
 	}
-	busy := load.Running + 1
+	running := load.Running + 1
 	rounds := 1.0
 	if slots > 0 {
-		rounds = max(1, busy/float64(slots))
+		rounds = max(1, running/float64(slots))
 	}
-	// Below the number of slots the load term only spreads requests.
+	// With free slots, load does not add latency; this term only spreads requests over the servers.
 	spread := 0.1 * load.Running / float64(max(slots, 1))
 	return time.Duration((rounds+spread)*float64(latency)) + time.Duration(load.Failures*float64(failurePenalty))
 }
 
-// PickPlain chooses a server for a request to a plain service and counts it there. It returns nil without a server.
+// PickPlain selects a server for a request to a plain service and counts the request as in flight there. It returns nil
+// when there is no candidate.
 func (b *Board) PickPlain(c Choice, now time.Time) *Ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best *server
 	var bestScore time.Duration
 	for _, s := range b.candidates(c) {
-		spread := time.Duration(b.unseen[c.Service] / float64(max(s.Slots, 1)) * float64(max(s.latency, plainLatency)))
-		score := plainScore(b.total(s, now), s.Slots, s.latency) + b.extra(s, now) + random(min(spread, maxSpread))
+		jitter := time.Duration(b.unreported[c.Service] / float64(max(s.Slots, 1)) * float64(max(s.latency, defaultPlainLatency)))
+		score := plainScore(b.total(s, now), s.Slots, s.latency) + b.commonPenalty(s, now) + randomBelow(min(jitter, maxJitter))
 		if best == nil || score < bestScore {
 			best, bestScore = s, score
 		}
@@ -58,19 +59,20 @@
 	return b.begin(best, now, 0, bestScore, nil)
 }
 
-// extra is what counts for all kinds of servers.
-func (b *Board) extra(s *server, now time.Time) time.Duration {
-	extra := random(minSpread)
+// commonPenalty returns the part of the score that is common to all kinds of servers.
+func (b *Board) commonPenalty(s *server, now time.Time) time.Duration {
+	penalty := randomBelow(minJitter)
 	if s.Domain != b.domain {
-		extra += domainPenalty
+		penalty += domainPenalty
 	}
-	if now.Sub(s.fullAt) < fullTime {
-		extra += fullPenalty
+	if now.Sub(s.fullAt) < fullPenaltyDuration {
+		penalty += fullPenalty
 	}
-	return extra
+	return penalty
 }
 
-// Pressure is the share of the slots of a service's ready servers that is taken, and whether there are any.
+// Pressure returns the fraction of the slots of a service's ready servers that is in use, and the number of these
+// servers. The fraction may exceed 1; it is 0 when there are no slots.
 func (b *Board) Pressure(service string, now time.Time) (taken float64, servers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/placement/unseen.go
+++ b/pkg/placement/unseen.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// seenEnough is the number of unseen requests a server up to which the figures are good enough to follow.
-	seenEnough = 0.5
-	// unseenCost is the random time for each unseen request on an engine, maxSpread bounds the random part of a score.
-	unseenCost = 100 * time.Millisecond
-	maxSpread  = 500 * time.Millisecond
-	// leastSample is how many engines are compared at least.
-	leastSample = 3
+	// unreportedTolerance is the number of unreported requests per server up to which reported loads are accurate enough.
+	unreportedTolerance = 0.5
+	// jitterPerUnreported is the range of the random time added to an engine's score for each unreported request,
+	// maxJitter the upper bound of the random part of any score.
+	jitterPerUnreported = 100 * time.Millisecond
+	maxJitter           = 500 * time.Millisecond
+	// minSample is the minimum number of engines that are compared.
+	minSample = 3
 )
 
-// SetUnseen tells how many requests the other nodes send to one server of a service, on average, before this node hears of
-// them.
+// SetUnseen sets the average number of requests that the other nodes send to one server of a service before they report
+// them to this node.
 //
-// Load pattern: many nodes choose by the same figures, which are as old as the interval between their messages. If they
-// all took the server that looked best, its queue would be full while others idle. A node therefore compares a random
-// part of the servers only, the smaller the more it cannot see, and adds a random time to each score.
+// Load pattern: many nodes choose by the same loads, which are as old as the interval between their messages. If they
+// all chose the server with the lowest load, its queue would fill up while others are idle. A node therefore compares
+// only a random subset of the servers, which is smaller the more requests are unreported, and adds a random time to each
+// score.
 func (b *Board) SetUnseen(service string, requests float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.unseen[service] = max(0, requests-seenEnough)
+	b.unreported[service] = max(0, requests-unreportedTolerance)
 }
 
-// sample reports whether an engine is compared for a request. Those that hold parts of the prompt always are.
-func (b *Board) sample(service string, holdsPrompt bool, others int) bool {
-	return holdsPrompt || others < leastSample || rand.Float64() < 1/(1+b.unseen[service])
+// inSample reports whether an engine is compared for a request, given the number of those already compared. Engines that
+// are expected to have parts of the prompt cached always are.
+func (b *Board) inSample(service string, holdsPrompt bool, others int) bool {
+	return holdsPrompt || others < minSample || rand.Float64() < 1/(1+b.unreported[service])
 }
 
-// engineSpread is the random part of an engine's score.
-func (b *Board) engineSpread(service string) time.Duration {
-	return random(min(time.Duration(b.unseen[service]*float64(unseenCost)), maxSpread))
+// engineJitter returns the random part of an engine's score.
+func (b *Board) engineJitter(service string) time.Duration {
+	return randomBelow(min(time.Duration(b.unreported[service]*float64(jitterPerUnreported)), maxJitter))
 }
 
-// random returns a random time below a limit.
-func random(limit time.Duration) time.Duration {
+// randomBelow returns a random duration below a limit, or 0 if the limit is not positive.
+func randomBelow(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
 	return rand.N(limit)
 }
 
-// shuffle changes the order of candidates, so that those compared at least are not the same on all nodes.
+// shuffle randomises the order of candidates, so that nodes do not all compare the same minimum sample.
 func shuffle(servers []*server) {
 	rand.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
 }
