--- a/pkg/limit/bucket.go
+++ b/pkg/limit/bucket.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// burstSeconds is the size of a bucket in seconds of its rate. All buckets of a limit together hold 0.4 s of it, that
-// is 4% of any 10 s.
+// burstSeconds is the capacity of a bucket in seconds of its rate. All buckets of a limit together hold 0.4 s of the
+// limit's rate, which is 4% of what any 10 s admit.
 const burstSeconds = 0.4
 
-// bucket is a token bucket. It may go into debt: a request larger than the bucket passes when the bucket is full.
+// bucket is a token bucket. Its level may become negative: a request larger than the capacity passes when the bucket is
+// full.
 type bucket struct {
 	rate, level float64
 	at          time.Time
@@ -24,7 +25,7 @@
 	}
 }
 
-// setRate changes the rate. An infinite rate never refuses.
+// setRate changes the rate. With an infinite rate every request passes.
 func (b *bucket) setRate(rate float64, now time.Time) {
 	if math.IsInf(rate, 1) {
 		*b = bucket{rate: rate, at: now}
@@ -40,7 +41,7 @@
 	b.level = min(b.level, b.capacity())
 }
 
-// until returns how long a request must wait; 0 means that it may pass now.
+// until returns how long a request of the given cost must wait, at most maxRetry; 0 means that it may pass now.
 func (b *bucket) until(cost float64, now time.Time) time.Duration {
 	if math.IsInf(b.rate, 1) {
 		return 0
--- a/pkg/limit/budget.go
+++ b/pkg/limit/budget.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Budget is the common budget of retries and hedges: each request deposits a percentage of one retry. It keeps a wave
-// of failures from multiplying the load.
+// Budget is the shared budget of retries and hedges: each request deposits a percentage of the cost of one retry. It
+// prevents retry storms, in which many simultaneous failures multiply the load.
 type Budget struct {
 	percent atomic.Int64
 	level   atomic.Int64 // in hundredths of a retry
@@ -11,11 +11,11 @@
 
 const (
 	retryCost     = 100
-	initialBudget = 3 * retryCost   // lets the first failures of a quiet node be retried
-	maxBudget     = 100 * retryCost // bounds what calm times save up
+	initialBudget = 3 * retryCost   // allows the first failures on a node with few requests to be retried
+	maxBudget     = 100 * retryCost // bounds what accumulates while nothing fails
 )
 
-// NewBudget returns a budget of retries in percent of requests.
+// NewBudget returns a budget that allows the given percentage of requests to be retried.
 func NewBudget(percent uint32) *Budget {
 	b := &Budget{}
 	b.SetPercent(percent)
@@ -26,7 +26,7 @@
 // SetPercent changes the percentage; at most 100.
 func (b *Budget) SetPercent(percent uint32) { b.percent.Store(int64(min(percent, 100))) }
 
-// Request counts one first attempt.
+// Request deposits the share of one first attempt.
 func (b *Budget) Request() {
 	deposit := b.percent.Load()
 	for {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Withdraw takes one retry or hedge out of the budget and reports whether it may be sent.
+// Withdraw reports whether a retry or hedge may be sent and, if so, takes it out of the budget.
 func (b *Budget) Withdraw() bool {
 	for {
 		level := b.level.Load()
--- a/pkg/limit/heaps.go
+++ b/pkg/limit/heaps.go
@@ -38,10 +38,10 @@
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
-	return a.number < b.number
+	return a.sequence < b.sequence
 }
 
-// last returns the request that would be served last; the heap must not be empty.
+// last returns the request that is last in the order; the heap must not be empty.
 func (h waiterHeap) last() *waiter {
 	last := h[0]
 	for _, item := range h {
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,12 +1,12 @@
-// Package limit decides which requests may run now, which wait and which are refused.
+// Package limit decides which requests run immediately, which are queued and which are refused.
 //
-// Admission is the entry. A request passes the limits of its workspace, which hold over all nodes (see Shares), and
-// then takes one of the node's slots. While slots are free this costs one lock of a shard and one atomic operation.
-// When all are taken, requests wait in a fair queue (see fairQueue), and those that would miss their deadline are
-// refused at once with a retry time.
+// Admission is the entry point. A request is checked against the limits of its workspace, which apply to all nodes
+// together (see Shares), and then takes one of the node's slots. While slots are free this costs one shard lock and one
+// atomic operation. When all slots are taken, requests wait in a fair queue (see fairQueue), and those that would miss
+// their deadline are refused at once with a retry time.
 //
-// ServerLimits adapts the concurrency of each backend server, Budget bounds retries and hedges together, and Outliers
-// takes failing servers out of a group.
+// ServerLimits adapts the concurrency limit of each backend server, Budget bounds retries and hedges together, and
+// Outliers ejects failing servers from a group.
 package limit
 
 import (
@@ -20,7 +20,8 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// Workspace is the configured share and the limits over all nodes of one workspace. A limit of 0 means none.
+// Workspace is the configuration of one workspace: its weight, its priority and its limits, which apply to all nodes
+// together. A limit of 0 means no limit.
 type Workspace struct {
 	Name string
 	// Share is the weight in fair queueing; 0 means 1.
@@ -34,9 +35,9 @@
 type Options struct {
 	// Node is the name of this node.
 	Node string
-	// Concurrency is the number of requests that run at a time; 0 means 256.
+	// Concurrency is the number of requests that may run at the same time; 0 means 256.
 	Concurrency int
-	// QueueLimit is the number of requests that may wait, over all workspaces; 0 means 1,024.
+	// QueueLimit is the number of requests that may wait, summed over all workspaces; 0 means 1,024.
 	QueueLimit int
 	Now        func() time.Time
 }
@@ -47,7 +48,7 @@
 	admissionShards    = 32
 )
 
-// Request asks for admission.
+// Request describes a request for admission.
 type Request struct {
 	Workspace string
 	Priority  uint32
@@ -69,10 +70,10 @@
 type admissionShard struct {
 	mu         sync.Mutex
 	workspaces map[string]*workspace
-	_          [48]byte // keeps the locks of neighbouring shards on different cache lines
+	_          [48]byte // padding: keeps the locks of adjacent shards on different cache lines
 }
 
-// workspace is the state of one workspace on this node. The shard's lock guards it, except for the parts of the queue.
+// workspace is the state of one workspace on this node. It is guarded by the lock of its shard, except for queued.
 type workspace struct {
 	config           Workspace
 	requests, tokens bucket
@@ -80,13 +81,14 @@
 
 	offeredRequests, offeredTokens uint64 // since the last export
 	peakConcurrent, refused        int    // since the last export
-	smooth                         [3]smoothed
+	smoothed                       [3]smoothedDemand
 
-	concurrent atomic.Int64 // rises under the lock only
+	concurrent atomic.Int64 // incremented only under the lock
 	queued     queuedWorkspace
 }
 
-// NewAdmission returns an Admission without workspaces; unknown workspaces are admitted with share 1 and no limits.
+// NewAdmission returns an Admission without workspaces; requests of unknown workspaces are admitted with weight 1 and
+// no limits.
 func NewAdmission(opts Options) *Admission {
 	if opts.Concurrency <= 0 {
 		opts.Concurrency = defaultConcurrency
@@ -100,7 +102,7 @@
 	a := &Admission{now: opts.Now, shares: NewShares(opts.Node, opts.Now()), seed: maphash.MakeSeed()}
 	a.queue.limit = opts.QueueLimit
 	a.queue.now = opts.Now
-	a.queue.active = make(map[*workspace]bool)
+	a.queue.recentlyServed = make(map[*workspace]bool)
 	a.queue.slots.Store(int64(opts.Concurrency))
 	for i := range a.shards {
 		a.shards[i].workspaces = make(map[string]*workspace)
@@ -112,56 +114,56 @@
 	return &a.shards[maphash.String(a.seed, name)%admissionShards]
 }
 
-// SetConcurrency changes the number of slots. Requests that run already are not affected.
+// SetConcurrency changes the number of slots, which is at least 1. Running requests are not affected.
 func (a *Admission) SetConcurrency(n int) {
 	a.queue.slots.Store(int64(max(1, n)))
 	a.queue.wake()
 }
 
-// SetWorkspaces takes the workspaces of a new configuration. Those that are missing lose their limits.
+// SetWorkspaces applies the workspaces of a new configuration. Workspaces that are no longer listed lose their limits.
 func (a *Admission) SetWorkspaces(workspaces []Workspace) {
 	a.shares.SetLimits(workspaces)
-	named := make(map[string]bool, len(workspaces))
+	listed := make(map[string]bool, len(workspaces))
 	var weights float64
 	for _, config := range workspaces {
-		named[config.Name] = true
+		listed[config.Name] = true
 		weights += float64(max(1, config.Share))
 		s := a.shard(config.Name)
 		s.mu.Lock()
 		s.get(config.Name, a.now()).config = config
 		s.mu.Unlock()
 	}
-	a.each(func(name string, w *workspace) {
-		if !named[name] {
+	a.forEachWorkspace(func(name string, w *workspace) {
+		if !listed[name] {
 			w.config = Workspace{Name: name}
 		}
 	})
-	a.queue.setWeights(max(1, weights))
+	a.queue.setTotalWeight(max(1, weights))
 	a.recompute()
 }
 
-// SetNodes tells which nodes may admit requests, this one included; see Shares.SetNodes.
+// SetNodes sets the nodes that may admit requests, this one included; see Shares.SetNodes.
 func (a *Admission) SetNodes(nodes []string) {
 	a.shares.SetNodes(nodes, a.now())
 	a.recompute()
 }
 
-// SetDemand takes the demand another node has gossiped. It takes effect with the next ExportDemand.
+// SetDemand stores the demand that another node has gossiped. It takes effect with the next ExportDemand.
 func (a *Admission) SetDemand(node string, demands []Demand) {
 	a.shares.SetDemand(node, demands, a.now())
 }
 
-// ExportDemand returns what the workspaces asked of this node since the last call and adjusts this node's shares. It
-// must be called once a second.
+// ExportDemand returns the demand of the workspaces on this node since the last call and updates this node's shares. It
+// must be called once per second.
 func (a *Admission) ExportDemand() []Demand {
 	now := a.now()
 	var demands []Demand
-	a.each(func(name string, w *workspace) {
+	a.forEachWorkspace(func(name string, w *workspace) {
 		d := Demand{
 			Workspace:  name,
-			Requests:   w.smooth[0].next(float64(w.offeredRequests)),
-			Tokens:     w.smooth[1].next(float64(w.offeredTokens)),
-			Concurrent: w.smooth[2].next(float64(w.peakConcurrent + w.refused)),
+			Requests:   w.smoothed[0].next(float64(w.offeredRequests)),
+			Tokens:     w.smoothed[1].next(float64(w.offeredTokens)),
+			Concurrent: w.smoothed[2].next(float64(w.peakConcurrent + w.refused)),
 		}
 		w.offeredRequests, w.offeredTokens, w.peakConcurrent, w.refused = 0, 0, int(w.concurrent.Load()), 0
 		if d.Requests > 0 || d.Concurrent > 0 {
@@ -173,7 +175,7 @@
 	return demands
 }
 
-func (a *Admission) each(visit func(string, *workspace)) {
+func (a *Admission) forEachWorkspace(visit func(string, *workspace)) {
 	for i := range a.shards {
 		s := &a.shards[i]
 		s.mu.Lock()
@@ -186,7 +188,7 @@
 
 func (a *Admission) recompute() {
 	now := a.now()
-	a.each(func(name string, w *workspace) {
+	a.forEachWorkspace(func(name string, w *workspace) {
 		share := a.shares.Share(name, now)
 		w.requests.setRate(share.Requests, now)
 		w.tokens.setRate(share.Tokens, now)
@@ -205,7 +207,7 @@
 	return w
 }
 
-// Grant is the permission to run one request.
+// Grant is the permission to run one request. It must be released with Done.
 type Grant struct {
 	// Waited is the time spent in the queue.
 	Waited    time.Duration
@@ -213,12 +215,12 @@
 	shard     *admissionShard
 	workspace *workspace
 	tokens    uint32
-	began     time.Time
+	startedAt time.Time
 	done      atomic.Bool
 }
 
-// Acquire admits a request, waits for its turn or refuses it. The error is a *code.Error that says the request did not
-// run; its RetryAfter is set.
+// Acquire admits a request, if necessary after waiting in the queue, or refuses it. The error is a *code.Error with
+// RanNo; refusals have RetryAfter set.
 func (a *Admission) Acquire(ctx context.Context, req Request) (*Grant, error) {
 	now := a.now()
 	s := a.shard(req.Workspace)
@@ -230,22 +232,22 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	g := &Grant{admission: a, shard: s, workspace: w, tokens: req.Tokens, began: now}
+	g := &Grant{admission: a, shard: s, workspace: w, tokens: req.Tokens, startedAt: now}
 	if a.queue.tryTake() {
 		return g, nil
 	}
 	if err := a.queue.wait(ctx, w, &config, &req, now); err != nil {
 		s.mu.Lock()
-		w.takeBack(req.Tokens)
+		w.refund(req.Tokens)
 		s.mu.Unlock()
 		return nil, err
 	}
-	g.began = a.now()
-	g.Waited = g.began.Sub(now)
+	g.startedAt = a.now()
+	g.Waited = g.startedAt.Sub(now)
 	return g, nil
 }
 
-// admit checks the limits over all nodes and counts the request.
+// admit checks this node's share of the workspace's limits and counts the request if it is within them.
 func (w *workspace) admit(req *Request, now time.Time) *code.Error {
 	w.offeredRequests++
 	w.offeredTokens += uint64(req.Tokens)
@@ -254,10 +256,10 @@
 		return code.New(code.ConcurrencyLimited, "the workspace has too many open requests").After(time.Second)
 	}
 	if wait := w.requests.until(1, now); wait > 0 {
-		return code.New(code.RequestRateLimited, "the workspace is over its request rate").After(retryTime(wait))
+		return code.New(code.RequestRateLimited, "the workspace is over its request rate").After(clampRetry(wait))
 	}
 	if wait := w.tokens.until(float64(req.Tokens), now); wait > 0 {
-		return code.New(code.TokenRateLimited, "the workspace is over its token rate").After(retryTime(wait))
+		return code.New(code.TokenRateLimited, "the workspace is over its token rate").After(clampRetry(wait))
 	}
 	w.requests.take(1)
 	w.tokens.take(float64(req.Tokens))
@@ -265,14 +267,15 @@
 	return nil
 }
 
-// takeBack returns what admit took, for a request that did not run.
-func (w *workspace) takeBack(tokens uint32) {
+// refund returns what admit took, for a request that did not run.
+func (w *workspace) refund(tokens uint32) {
 	w.concurrent.Add(-1)
 	w.requests.take(-1)
 	w.tokens.take(-float64(tokens))
 }
 
-// Done ends the request. tokens is what it really used; 0 keeps the estimate. Further calls do nothing.
+// Done ends the request and frees its slot. tokens is the number of tokens actually used; 0 keeps the estimate. Further
+// calls do nothing.
 func (g *Grant) Done(tokens uint32) {
 	if g.done.Swap(true) {
 		return
@@ -284,7 +287,7 @@
 		w.tokens.take(float64(tokens) - float64(g.tokens))
 		g.shard.mu.Unlock()
 	}
-	a.queue.release(w, a.now().Sub(g.began))
+	a.queue.release(w, a.now().Sub(g.startedAt))
 }
 
 const (
@@ -292,4 +295,4 @@
 	maxRetry = 30 * time.Second
 )
 
-func retryTime(d time.Duration) time.Duration { return min(maxRetry, max(minRetry, d)) }
+func clampRetry(d time.Duration) time.Duration { return min(maxRetry, max(minRetry, d)) }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -15,7 +15,7 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// offer sends Poisson arrivals of one workspace for a time and calls served with the wait of each granted request.
+// offer generates Poisson arrivals for one workspace and calls served with the queueing time of each granted request.
 func offer(a *Admission, wg *sync.WaitGroup, name string, rate float64, seconds float64, seed uint64, deadline time.Duration, service time.Duration, served func(wait time.Duration, inTime bool)) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 9))
@@ -23,22 +23,22 @@
 		end := time.Now().Add(time.Duration(seconds * float64(time.Second)))
 		for time.Now().Before(end) {
 			time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-			// Equal service times would lock the slots into one phase, so they vary by half.
-			took := time.Duration((0.5 + rng.Float64()) * float64(service))
+			// Service times vary by half, since equal ones would synchronise the slots.
+			duration := time.Duration((0.5 + rng.Float64()) * float64(service))
 			wg.Go(func() {
-				began := time.Now()
+				start := time.Now()
 				req := Request{Workspace: name}
 				if deadline > 0 {
-					req.Deadline = began.Add(deadline)
+					req.Deadline = start.Add(deadline)
 				}
 				g, err := a.Acquire(context.Background(), req)
 				if err != nil {
 					return
 				}
-				time.Sleep(took)
+				time.Sleep(duration)
 				g.Done(0)
 				mu.Lock()
-				served(g.Waited, deadline == 0 || time.Since(began) <= deadline)
+				served(g.Waited, deadline == 0 || time.Since(start) <= deadline)
 				mu.Unlock()
 			})
 		}
@@ -50,8 +50,8 @@
 	return waits[len(waits)*95/100]
 }
 
-// A workspace at ten times its share must not move another one's 95th percentile of waiting by more than a tenth, on
-// the median of several seeds, and must still get nearly all of the rest.
+// A workspace at ten times its share must not raise the 95th percentile of another one's queueing time by more than a
+// tenth, in the median of several seeds, and must still get nearly all of the remaining capacity.
 func TestFairQueueIsolatesWorkspaces(t *testing.T) {
 	run := func(greedyRate float64, seed uint64) (p time.Duration, greedy int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 	assert.Assert(t, crowded[1] <= alone[1]*11/10)
 }
 
-// Overload must not lower the number of requests that are done before their deadline.
+// Overload must not reduce the number of requests completed before their deadline by more than a tenth.
 func TestGoodputUnderOverload(t *testing.T) {
 	run := func(rate float64) (good int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,12 +95,12 @@
 		})
 		return good
 	}
-	base, twice, five := run(100), run(200), run(500)
-	t.Logf("requests done in time: %d at capacity, %d at 2 times, %d at 5 times", base, twice, five)
-	assert.Assert(t, twice*10 >= base*9 && five*10 >= base*9)
+	base, double, fivefold := run(100), run(200), run(500)
+	t.Logf("requests completed in time: %d at capacity, %d at 2 times, %d at 5 times", base, double, fivefold)
+	assert.Assert(t, double*10 >= base*9 && fivefold*10 >= base*9)
 }
 
-// A request that would wait past its deadline must be refused when it arrives, with a retry time.
+// A request that would wait beyond its deadline must be refused on arrival, with a retry time.
 func TestEarlyRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAdmission(Options{Concurrency: 1})
@@ -115,17 +115,18 @@
 			wg.Go(serve)
 		}
 		time.Sleep(time.Second)
-		began := time.Now()
-		_, err := a.Acquire(t.Context(), Request{Workspace: "w", Deadline: began.Add(time.Second)})
+		start := time.Now()
+		_, err := a.Acquire(t.Context(), Request{Workspace: "w", Deadline: start.Add(time.Second)})
 		assert.Equal(t, code.From(err).Code, code.DeadlineUnreachable)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Equal(t, time.Since(start), time.Duration(0))
 		retry := code.From(err).RetryAfter
 		assert.Assert(t, retry > 700*time.Millisecond && retry < 2*time.Second, "%v", retry)
 		wg.Wait()
 	})
 }
 
-// A caller that leaves, a late request and a full queue must be answered at once, with ran "no" and a retry time.
+// Cancellation by the caller, a passed deadline and a full queue must be answered at once with ran "no", a full queue
+// with a retry time.
 func TestRefusalsAreImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAdmission(Options{Concurrency: 1, QueueLimit: 8})
@@ -133,20 +134,20 @@
 		busy, err := a.Acquire(t.Context(), Request{Workspace: "a"})
 		assert.NilError(t, err)
 		refusal := func(ctx context.Context, req Request) (*code.Error, time.Duration) {
-			began := time.Now()
+			start := time.Now()
 			_, err := a.Acquire(ctx, req)
 			e := code.From(err)
 			assert.Equal(t, e.Ran, code.RanNo)
-			return e, time.Since(began)
+			return e, time.Since(start)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		e, took := refusal(ctx, Request{Workspace: "a"})
+		e, elapsed := refusal(ctx, Request{Workspace: "a"})
 		assert.Equal(t, e.Code, code.CallerGone)
-		assert.Equal(t, took, time.Second)
-		e, took = refusal(t.Context(), Request{Workspace: "a", Deadline: time.Now().Add(2 * time.Second)})
+		assert.Equal(t, elapsed, time.Second)
+		e, elapsed = refusal(t.Context(), Request{Workspace: "a", Deadline: time.Now().Add(2 * time.Second)})
 		assert.Equal(t, e.Code, code.DeadlineUnreachable)
-		assert.Equal(t, took, 2*time.Second)
+		assert.Equal(t, elapsed, 2*time.Second)
 		var order []string
 		var wg sync.WaitGroup
 		for i := range 4 {
@@ -161,9 +162,9 @@
 			})
 			synctest.Wait()
 		}
-		e, took = refusal(t.Context(), Request{Workspace: "a"})
+		e, elapsed = refusal(t.Context(), Request{Workspace: "a"})
 		assert.Equal(t, e.Code, code.QueueFull)
-		assert.Equal(t, took, time.Duration(0))
+		assert.Equal(t, elapsed, time.Duration(0))
 		assert.Assert(t, e.RetryAfter > 0)
 		wg.Go(func() {
 			g, err := a.Acquire(t.Context(), Request{Workspace: "a", Priority: 1})
@@ -180,7 +181,7 @@
 	})
 }
 
-// Retries and hedges together must stay within their share of requests while everything fails.
+// Retries and hedges together must stay within their percentage of requests while everything fails.
 func TestBudgetUnderFailures(t *testing.T) {
 	b := NewBudget(10)
 	retries := 0
@@ -196,7 +197,7 @@
 	assert.Assert(t, retries >= 990)
 }
 
-// When all servers of a group fail, most of them must stay in use; recovery needs successful probes.
+// When all servers of a group fail, most of them must stay in use; an ejected server needs successful probes to return.
 func TestEjectionBound(t *testing.T) {
 	now := time.UnixMilli(0)
 	o := NewOutliers(30, func() time.Time { return now })
@@ -213,7 +214,7 @@
 	assert.Assert(t, !o.Allow(out[0]))
 	now = now.Add(ejectionTime)
 	assert.Assert(t, o.Allow(out[0]))
-	assert.Assert(t, !o.Allow(out[0]), "one probe at a time")
+	assert.Assert(t, !o.Allow(out[0]), "only one probe at a time")
 	o.Observe(out[0], false)
 	now = now.Add(ejectionTime)
 	assert.Assert(t, !o.Allow(out[0]), "the second ejection is longer")
@@ -224,10 +225,10 @@
 	}
 	assert.Equal(t, len(o.Ejected("g")), 2)
 	o.SetServers(map[string][]string{"g": ids[:3]})
-	assert.Equal(t, len(o.Ejected("g")), 0, "a smaller group readmits")
+	assert.Equal(t, len(o.Ejected("g")), 0, "a smaller group readmits servers")
 }
 
-// The limit of a server must settle near the load at which its latency reaches the target, from both sides.
+// The limit of a server must converge, from above and below, to near the load at which its latency reaches the target.
 func TestServerLimitFollowsLatency(t *testing.T) {
 	now := time.UnixMilli(0)
 	l := NewServerLimits(400*time.Millisecond, func() time.Time { return now })
--- a/pkg/limit/outliers.go
+++ b/pkg/limit/outliers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Outliers takes servers that fail out of their group for a while. At most a set share of a group is out at a time, so
-// that a fault of a dependency, which makes all servers fail, does not empty the group.
+// Outliers ejects failing servers from their group for a limited time. Only a fixed percentage of a group may be ejected
+// at the same time, so that the failure of a dependency, which makes all servers fail, does not empty the group.
 type Outliers struct {
 	now        func() time.Time
 	maxPercent int
@@ -16,35 +16,35 @@
 }
 
 type outlier struct {
-	failures  int     // in a row; negative counts successes in a row
-	failing   float64 // mean share of failures
-	seen      int
-	ejected   bool
-	ejections int
-	until     time.Time
-	probing   bool
-	probedAt  time.Time
-	passed    int // probes in a row
+	consecutive  int     // number of consecutive failures, or of consecutive successes if negative
+	failureRate  float64 // moving average of the failure rate
+	results      int
+	ejected      bool
+	ejections    int
+	ejectedUntil time.Time
+	probing      bool
+	probedAt     time.Time
+	probesPassed int // consecutive successful probes
 }
 
 const (
-	ejectAfter       = 5   // failures in a row
-	ejectRate        = 0.5 // share of failures above which a server is ejected
-	ejectSeen        = 20  // results before the rate counts
-	failingKeep      = 0.95
+	ejectAfter       = 5   // consecutive failures after which a server is ejected
+	ejectFailureRate = 0.5 // failure rate above which a server is ejected
+	minRateResults   = 20  // results needed before the failure rate is used
+	failureRateDecay = 0.95
 	ejectionTime     = 5 * time.Second
 	maxEjectionTime  = 60 * time.Second
-	probeTimeout     = 10 * time.Second // a probe whose result never came
-	probesToRecover  = 3
-	forgiveSuccesses = 100 // successes in a row after which earlier ejections no longer lengthen the next
+	probeTimeout     = 10 * time.Second // after which a probe without a result may be repeated
+	probesToRecover  = 3                // consecutive successful probes after which a server is readmitted
+	successesToReset = 100              // consecutive successes after which earlier ejections no longer lengthen the next
 )
 
-// NewOutliers returns an Outliers that ejects at most maxPercent of a group.
+// NewOutliers returns an Outliers that ejects at most maxPercent of the servers of a group.
 func NewOutliers(maxPercent int, now func() time.Time) *Outliers {
 	return &Outliers{now: now, maxPercent: maxPercent, groups: make(map[string]map[string]*outlier), groupOf: make(map[string]string)}
 }
 
-// SetServers replaces the servers of all groups; those that remain keep their state.
+// SetServers replaces the servers of all groups, given by group name. Servers that remain keep their state.
 func (o *Outliers) SetServers(groups map[string][]string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,13 +63,13 @@
 	}
 	o.groups, o.groupOf = next, groupOf
 	for group := range next {
-		o.shrink(group)
+		o.readmitExcess(group)
 	}
 }
 
-// shrink readmits servers when a group has become smaller.
-func (o *Outliers) shrink(group string) {
-	excess := o.ejectedIn(group) - o.allowed(group)
+// readmitExcess readmits ejected servers when a smaller group allows fewer of them.
+func (o *Outliers) readmitExcess(group string) {
+	excess := o.ejectedIn(group) - o.maxEjected(group)
 	for _, s := range o.groups[group] {
 		if excess > 0 && s.ejected {
 			s.recover()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (o *Outliers) allowed(group string) int { return len(o.groups[group]) * o.maxPercent / 100 }
+func (o *Outliers) maxEjected(group string) int { return len(o.groups[group]) * o.maxPercent / 100 }
 
 func (o *Outliers) ejectedIn(group string) int {
 	n := 0
@@ -90,8 +90,8 @@
 	return n
 }
 
-// Allow reports whether a request may go to a server. For an ejected server whose time has passed, true makes the
-// request the probe; its result must be observed.
+// Allow reports whether a request may go to a server. When it returns true for an ejected server, whose ejection time
+// has then passed, the request is a probe and its result must be passed to Observe.
 func (o *Outliers) Allow(server string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,15 +100,15 @@
 		return true
 	}
 	now := o.now()
-	if now.Before(s.until) || s.probing && now.Sub(s.probedAt) < probeTimeout {
+	if now.Before(s.ejectedUntil) || s.probing && now.Sub(s.probedAt) < probeTimeout {
 		return false
 	}
 	s.probing, s.probedAt = true, now
 	return true
 }
 
-// Observe takes the result of a request. Results that say nothing about the server, such as a caller that went away,
-// must not be observed.
+// Observe records the result of a request. Results that do not depend on the server, such as a cancellation by the
+// caller, must not be passed.
 func (o *Outliers) Observe(server string, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -122,19 +122,19 @@
 		s.probe(ok, now)
 		return
 	}
-	s.seen++
-	s.failing *= failingKeep
+	s.results++
+	s.failureRate *= failureRateDecay
 	if ok {
-		s.failures = min(s.failures, 0) - 1
-		if s.failures <= -forgiveSuccesses {
+		s.consecutive = min(s.consecutive, 0) - 1
+		if s.consecutive <= -successesToReset {
 			s.ejections = 0
 		}
 		return
 	}
-	s.failing += 1 - failingKeep
-	s.failures = max(s.failures, 0) + 1
-	failing := s.failures >= ejectAfter || s.seen >= ejectSeen && s.failing > ejectRate
-	if failing && o.ejectedIn(group) < o.allowed(group) {
+	s.failureRate += 1 - failureRateDecay
+	s.consecutive = max(s.consecutive, 0) + 1
+	failing := s.consecutive >= ejectAfter || s.results >= minRateResults && s.failureRate > ejectFailureRate
+	if failing && o.ejectedIn(group) < o.maxEjected(group) {
 		s.eject(now)
 	}
 }
@@ -142,21 +142,21 @@
 func (s *outlier) eject(now time.Time) {
 	s.ejected = true
 	s.probing = false
-	s.passed = 0
-	s.until = now.Add(min(maxEjectionTime, ejectionTime<<min(s.ejections, 4)))
+	s.probesPassed = 0
+	s.ejectedUntil = now.Add(min(maxEjectionTime, ejectionTime<<min(s.ejections, 4)))
 	s.ejections++
 }
 
 func (s *outlier) probe(ok bool, now time.Time) {
 	if !s.probing {
-		return // the result of a request sent before the ejection
+		return // the request was sent before the ejection
 	}
 	s.probing = false
 	if !ok {
 		s.eject(now)
 		return
 	}
-	if s.passed++; s.passed >= probesToRecover {
+	if s.probesPassed++; s.probesPassed >= probesToRecover {
 		s.recover()
 	}
 }
@@ -165,7 +165,7 @@
 	*s = outlier{ejections: s.ejections}
 }
 
-// Ejected returns the servers of a group that are out.
+// Ejected returns the ids of the ejected servers of a group.
 func (o *Outliers) Ejected(group string) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/limit/queue.go
+++ b/pkg/limit/queue.go
@@ -12,75 +12,75 @@
 )
 
 // fairQueue gives slots to waiting requests by start-time fair queueing: each workspace has a virtual start time that
-// advances by cost over weight with each request served, and the workspace with the earliest one is next. Inside a
-// workspace the higher priority goes first, then the earlier arrival.
+// advances by cost over weight with each request served, and the workspace with the earliest one is served next. Within
+// a workspace, requests are ordered by priority, higher values first, then by arrival.
 //
-// The queue's length is divided between the workspaces by weight, so that one workspace cannot fill it for others.
+// The queue's capacity is divided between the workspaces by weight, so that one workspace cannot fill it up.
 type fairQueue struct {
-	now     func() time.Time
-	limit   int
-	slots   atomic.Int64
-	waiting atomic.Int64
-	_       [48]byte // keeps what each request writes off the cache line that each request reads
-	taken   atomic.Int64
-	ended   atomic.Uint64 // requests that released their slot
-	_       [48]byte
+	now      func() time.Time
+	limit    int
+	slots    atomic.Int64
+	waiting  atomic.Int64
+	_        [48]byte // padding: the counters that each request writes are not on the cache line that each request reads
+	taken    atomic.Int64
+	released atomic.Uint64 // number of requests that have released their slot
+	_        [48]byte
 
-	mu      sync.Mutex
-	weights float64
-	virtual float64
-	cost    float64 // mean cost of the requests served
-	order   workspaceHeap
-	active  map[*workspace]bool // served lately
-	next    uint64
+	mu             sync.Mutex
+	totalWeight    float64
+	virtualTime    float64
+	meanCost       float64 // moving average of the cost of the requests served
+	backlogged     workspaceHeap
+	recentlyServed map[*workspace]bool // served within recentlyServedTime
+	lastSequence   uint64
 
-	rate       float64 // requests that end per second
-	rateAt     time.Time
-	ratedEnded uint64
+	releaseRate    float64 // requests that release their slot per second
+	releaseRateAt  time.Time
+	releasedAtRate uint64
 }
 
-// queuedWorkspace is the part of a workspace that the queue's lock guards.
+// queuedWorkspace is the part of a workspace that is guarded by the queue's lock, except for the atomic fields.
 type queuedWorkspace struct {
-	weight  float64
-	start   float64   // virtual start time of the next request
-	served  time.Time // when the queue last gave it a slot
-	waiters waiterHeap
-	index   int // position in order, when waiters is not empty
+	weight     float64
+	start      float64   // virtual start time of the next request
+	lastServed time.Time // when the queue last gave it a slot
+	waiters    waiterHeap
+	index      int // position in the queue's workspace heap while waiters is not empty
 
-	// Mean service time and its mean deviation, in seconds as float64 bits.
+	// Moving averages of the service time and of its absolute deviation, in seconds, as float64 bits.
 	meanService, deviation atomic.Uint64
 }
 
 type waiter struct {
 	priority uint32
-	number   uint64
+	sequence uint64
 	cost     float64
 	deadline time.Time
-	index    int // -1 when it left the queue
+	index    int // position in the heap, -1 when it has left the queue
 	ready    chan *code.Error
 }
 
 const (
-	rateInterval = 200 * time.Millisecond
-	rateKeep     = 0.7
-	serviceKeep  = 0.9
-	minQueue     = 4 // requests of each workspace that may wait
-	costKeep     = 0.95
-	// idleCredit is the number of requests a workspace may have served ahead of its share after it used less than that.
-	// Without it, the bursts of a workspace below its share would wait as if the share were a server of its own.
+	rateInterval     = 200 * time.Millisecond
+	releaseRateDecay = 0.7
+	serviceDecay     = 0.9
+	minWaiting       = 4 // requests of each workspace that may wait whatever its weight
+	costDecay        = 0.95
+	// idleCredit is the number of requests of mean cost that a workspace may have served ahead of its share after using
+	// less than its share. Without it, bursts of such a workspace would wait as if the share were its only capacity.
 	idleCredit = 16
 
-	// One slot in 16 is held back, on nodes with at least 8 slots, for workspaces served within the last second.
-	reservedPart = 16
-	minReserving = 8
-	activeFor    = time.Second
+	// One slot in 16 is reserved, on nodes with at least 8 slots, for workspaces served within the last second.
+	reserveDivisor     = 16
+	minSlotsToReserve  = 8
+	recentlyServedTime = time.Second
 )
 
 func cost(tokens uint32) float64 { return float64(max(1, tokens)) }
 
-func (q *fairQueue) setWeights(sum float64) {
+func (q *fairQueue) setTotalWeight(sum float64) {
 	q.mu.Lock()
-	q.weights = sum
+	q.totalWeight = sum
 	q.mu.Unlock()
 }
 
@@ -102,20 +102,20 @@
 }
 
 func (q *fairQueue) release(w *workspace, service time.Duration) {
-	mean, seen := loadFloat(&w.queued.meanService), service.Seconds()
+	mean, seconds := loadFloat(&w.queued.meanService), service.Seconds()
 	if mean == 0 {
-		mean = seen
+		mean = seconds
 	}
 	deviation := loadFloat(&w.queued.deviation)
-	storeFloat(&w.queued.deviation, serviceKeep*deviation+(1-serviceKeep)*math.Abs(seen-mean))
-	storeFloat(&w.queued.meanService, serviceKeep*mean+(1-serviceKeep)*seen)
-	q.ended.Add(1)
+	storeFloat(&w.queued.deviation, serviceDecay*deviation+(1-serviceDecay)*math.Abs(seconds-mean))
+	storeFloat(&w.queued.meanService, serviceDecay*mean+(1-serviceDecay)*seconds)
+	q.released.Add(1)
 	q.taken.Add(-1)
 	q.wake()
 }
 
-// wake gives free slots to waiting requests. The order of the counters matters: a request counts as waiting before it
-// looks for a free slot again, and a slot is free before its holder looks for waiting requests.
+// wake gives free slots to waiting requests. To avoid lost wake-ups, a request counts as waiting before it looks for a
+// free slot again, and a slot is freed before its holder looks for waiting requests.
 func (q *fairQueue) wake() {
 	if q.waiting.Load() == 0 {
 		return
@@ -125,7 +125,7 @@
 	q.mu.Unlock()
 }
 
-// wait queues a request until it has a slot.
+// wait queues a request until it has a slot, its deadline passes or ctx ends.
 func (q *fairQueue) wait(ctx context.Context, w *workspace, config *Workspace, req *Request, now time.Time) error {
 	item := &waiter{
 		priority: req.Priority + config.Priority,
@@ -134,9 +134,9 @@
 		ready:    make(chan *code.Error, 1),
 	}
 	q.mu.Lock()
-	q.measure(now)
+	q.updateReleaseRate(now)
 	w.queued.weight = float64(max(1, config.Share))
-	if refusal := q.refuse(w, item, now); refusal != nil {
+	if refusal := q.checkWait(w, item, now); refusal != nil {
 		q.mu.Unlock()
 		return refusal
 	}
@@ -159,11 +159,11 @@
 	case <-ctx.Done():
 		return q.leave(w, item, code.Wrap(code.CallerGone, code.RanNo, "the request ended while it waited", ctx.Err()))
 	case <-expired:
-		return q.leave(w, item, q.late(w))
+		return q.leave(w, item, q.deadlineRefusal(w))
 	}
 }
 
-// leave takes a request out of the queue. A slot it was given meanwhile goes to the next one.
+// leave removes a request from the queue. If it was given a slot in the meantime, the slot goes to the next request.
 func (q *fairQueue) leave(w *workspace, item *waiter, reason *code.Error) error {
 	q.mu.Lock()
 	if item.index >= 0 {
@@ -180,8 +180,9 @@
 	return reason
 }
 
-// refuse decides whether a request may wait at all.
-func (q *fairQueue) refuse(w *workspace, item *waiter, now time.Time) *code.Error {
+// checkWait returns a refusal if a request must not wait, because it would miss its deadline or the workspace's part of
+// the queue is full. If the queue is full, a higher priority displaces the waiting request that is last in the order.
+func (q *fairQueue) checkWait(w *workspace, item *waiter, now time.Time) *code.Error {
 	ahead := 0
 	for _, other := range w.queued.waiters {
 		if other.priority >= item.priority {
@@ -191,15 +192,15 @@
 	wait := q.expectedWait(w, ahead+1)
 	if !item.deadline.IsZero() {
 		left := item.deadline.Sub(now)
-		if wait+q.service(w) > left {
+		if wait+q.serviceTime(w) > left {
 			return code.New(code.DeadlineUnreachable, "the request would not be served before its deadline").
-				After(retryTime(wait + q.service(w) - left))
+				After(clampRetry(wait + q.serviceTime(w) - left))
 		}
 	}
-	if len(w.queued.waiters) < q.bound(w) {
+	if len(w.queued.waiters) < q.maxWaiting(w) {
 		return nil
 	}
-	full := code.New(code.QueueFull, "the queue is full").After(retryTime(wait))
+	full := code.New(code.QueueFull, "the queue is full").After(clampRetry(wait))
 	last := w.queued.waiters.last()
 	if last.priority >= item.priority {
 		return full
@@ -209,25 +210,25 @@
 	return nil
 }
 
-// bound is the number of requests of a workspace that may wait.
-func (q *fairQueue) bound(w *workspace) int {
-	weights := max(q.weights, w.queued.weight)
-	return max(minQueue, int(float64(q.limit)*w.queued.weight/weights))
+// maxWaiting returns the number of requests of a workspace that may wait.
+func (q *fairQueue) maxWaiting(w *workspace) int {
+	weights := max(q.totalWeight, w.queued.weight)
+	return max(minWaiting, int(float64(q.limit)*w.queued.weight/weights))
 }
 
-// expectedWait is the time until a workspace has had n more turns, at the rate at which slots get free.
+// expectedWait returns the time until n more requests of a workspace are served, at the current rate of released slots.
 func (q *fairQueue) expectedWait(w *workspace, n int) time.Duration {
 	weights := 0.0
-	for _, other := range q.order {
+	for _, other := range q.backlogged {
 		weights += other.queued.weight
 	}
 	if len(w.queued.waiters) == 0 {
 		weights += w.queued.weight
 	}
-	rate := q.rate
+	rate := q.releaseRate
 	if rate <= 0 {
-		// Nothing has ended yet: the mean service time of the workspace is the only estimate.
-		service := q.service(w).Seconds()
+		// No rate is known yet: the service time of the workspace is the only estimate.
+		service := q.serviceTime(w).Seconds()
 		if service <= 0 {
 			return 0
 		}
@@ -237,37 +238,37 @@
 	return time.Duration(min(seconds, 3600) * float64(time.Second))
 }
 
-// service returns a cautious estimate of a request's service time: a request that runs and ends late takes a slot
-// from one that would have been in time.
-func (q *fairQueue) service(w *workspace) time.Duration {
+// serviceTime returns a conservative estimate of a request's service time, two mean deviations above the mean: a request
+// that runs but ends late takes a slot from one that would have been in time.
+func (q *fairQueue) serviceTime(w *workspace) time.Duration {
 	seconds := loadFloat(&w.queued.meanService) + 2*loadFloat(&w.queued.deviation)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (q *fairQueue) measure(now time.Time) {
-	elapsed := now.Sub(q.rateAt)
+func (q *fairQueue) updateReleaseRate(now time.Time) {
+	elapsed := now.Sub(q.releaseRateAt)
 	if elapsed < rateInterval {
 		return
 	}
-	ended := q.ended.Load()
-	seen := float64(ended-q.ratedEnded) / elapsed.Seconds()
+	released := q.released.Load()
+	rate := float64(released-q.releasedAtRate) / elapsed.Seconds()
 	switch {
-	case q.rateAt.IsZero():
-		seen = 0
-	case q.rate > 0:
-		seen = rateKeep*q.rate + (1-rateKeep)*seen
+	case q.releaseRateAt.IsZero():
+		rate = 0
+	case q.releaseRate > 0:
+		rate = releaseRateDecay*q.releaseRate + (1-releaseRateDecay)*rate
 	}
-	q.rate, q.rateAt, q.ratedEnded = seen, now, ended
+	q.releaseRate, q.releaseRateAt, q.releasedAtRate = rate, now, released
 }
 
 func (q *fairQueue) push(w *workspace, item *waiter) {
-	q.next++
-	item.number = q.next
+	q.lastSequence++
+	item.sequence = q.lastSequence
 	q.waiting.Add(1)
 	heap.Push(&w.queued.waiters, item)
 	if len(w.queued.waiters) == 1 {
-		w.queued.start = max(w.queued.start, q.virtual-idleCredit*q.cost/w.queued.weight)
-		heap.Push(&q.order, w)
+		w.queued.start = max(w.queued.start, q.virtualTime-idleCredit*q.meanCost/w.queued.weight)
+		heap.Push(&q.backlogged, w)
 	}
 }
 
@@ -276,51 +277,52 @@
 	item.index = -1
 	q.waiting.Add(-1)
 	if len(w.queued.waiters) == 0 {
-		heap.Remove(&q.order, w.queued.index)
+		heap.Remove(&q.backlogged, w.queued.index)
 	}
 }
 
-// dispatch gives free slots to the workspaces in the order of their virtual start times.
+// dispatch gives free slots to waiting requests, by the virtual start times of their workspaces.
 func (q *fairQueue) dispatch() {
-	if len(q.order) == 0 {
+	if len(q.backlogged) == 0 {
 		return
 	}
 	now := q.now()
-	q.measure(now)
-	for len(q.order) > 0 {
-		w := q.order[0]
-		if q.holdBack(w, now) || !q.takeSlot() {
+	q.updateReleaseRate(now)
+	for len(q.backlogged) > 0 {
+		w := q.backlogged[0]
+		if q.reservedForOthers(w, now) || !q.takeSlot() {
 			return
 		}
 		item := w.queued.waiters[0]
 		q.remove(w, item)
-		if !item.deadline.IsZero() && now.Add(q.service(w)).After(item.deadline) {
+		if !item.deadline.IsZero() && now.Add(q.serviceTime(w)).After(item.deadline) {
 			q.taken.Add(-1)
-			item.ready <- q.lateLocked(w)
+			item.ready <- q.deadlineRefusalLocked(w)
 			continue
 		}
-		q.virtual = max(q.virtual, w.queued.start)
-		q.cost = costKeep*q.cost + (1-costKeep)*item.cost
+		q.virtualTime = max(q.virtualTime, w.queued.start)
+		q.meanCost = costDecay*q.meanCost + (1-costDecay)*item.cost
 		w.queued.start += item.cost / w.queued.weight
-		w.queued.served = now
-		q.active[w] = true
+		w.queued.lastServed = now
+		q.recentlyServed[w] = true
 		if len(w.queued.waiters) > 0 {
-			heap.Fix(&q.order, w.queued.index)
+			heap.Fix(&q.backlogged, w.queued.index)
 		}
 		item.ready <- nil
 	}
 }
 
-// holdBack tells whether the last free slots are kept for a workspace that was served lately and is behind its share.
-// Otherwise its next request would always wait for a slot to be released, since the queue of the other never empties.
-func (q *fairQueue) holdBack(w *workspace, now time.Time) bool {
+// reservedForOthers reports whether the last free slots are reserved for another workspace that was served recently and
+// is behind its share. Otherwise the next request of that one would always wait for a slot to be released while w has
+// requests in the queue.
+func (q *fairQueue) reservedForOthers(w *workspace, now time.Time) bool {
 	slots := q.slots.Load()
-	if slots < minReserving || q.taken.Load() < slots-(slots+reservedPart-1)/reservedPart {
+	if slots < minSlotsToReserve || q.taken.Load() < slots-(slots+reserveDivisor-1)/reserveDivisor {
 		return false
 	}
-	for other := range q.active {
-		if now.Sub(other.queued.served) > activeFor {
-			delete(q.active, other)
+	for other := range q.recentlyServed {
+		if now.Sub(other.queued.lastServed) > recentlyServedTime {
+			delete(q.recentlyServed, other)
 			continue
 		}
 		if other != w && len(other.queued.waiters) == 0 && other.queued.start < w.queued.start {
@@ -330,13 +332,13 @@
 	return false
 }
 
-func (q *fairQueue) late(w *workspace) *code.Error {
+func (q *fairQueue) deadlineRefusal(w *workspace) *code.Error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.lateLocked(w)
+	return q.deadlineRefusalLocked(w)
 }
 
-func (q *fairQueue) lateLocked(w *workspace) *code.Error {
+func (q *fairQueue) deadlineRefusalLocked(w *workspace) *code.Error {
 	return code.New(code.DeadlineUnreachable, "the deadline came too close while the request waited").
-		After(retryTime(q.expectedWait(w, len(w.queued.waiters)+1)))
+		After(clampRetry(q.expectedWait(w, len(w.queued.waiters)+1)))
 }
--- a/pkg/limit/servers.go
+++ b/pkg/limit/servers.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ServerLimits adapts the number of requests in flight on each backend server. The limit follows the gradient of the
-// lowest latency seen lately over the current one, and falls at once when latency is over the target.
+// ServerLimits adapts the concurrency limit of each backend server. The limit follows the gradient between the lowest
+// recent latency and the current one, and is cut at once when latency exceeds the target.
 type ServerLimits struct {
 	now    func() time.Time
 	mu     sync.RWMutex
@@ -16,34 +16,34 @@
 }
 
 type serverLimit struct {
-	mu       sync.Mutex
-	limit    float64
-	inFlight int
-	latency  float64    // mean of recent requests, seconds
-	best     [2]float64 // lowest latency of the current and the previous period
-	bestAt   time.Time
-	cutAt    time.Time
+	mu           sync.Mutex
+	limit        float64
+	inFlight     int
+	latency      float64    // moving average, in seconds
+	minLatency   [2]float64 // lowest latency of the current and the previous period, in seconds
+	minLatencyAt time.Time
+	cutAt        time.Time
 }
 
 const (
 	initialServerLimit = 16
 	minServerLimit     = 1
 	maxServerLimit     = 1024
-	latencyKeep        = 0.9
-	// limitStep is the part of the way to the next limit that one full round of requests goes. Faster steps oscillate,
-	// since latency shows the effect of a limit only a round later.
+	latencyDecay       = 0.9
+	// limitStep is the fraction of the distance to the next limit that one round of requests, as many as the limit,
+	// covers. Larger steps oscillate, since latency shows the effect of a limit only one round later.
 	limitStep = 0.3
-	// tolerance is how far latency may rise over the best one before the limit falls: batching costs some latency.
-	tolerance  = 2.0
-	bestPeriod = 30 * time.Second
-	targetCut  = 0.8
-	// slowStartShare is the part of the target below which the limit doubles with each round. Engines batch, so the
-	// limit of a new server is far above initialServerLimit.
+	// latencyTolerance is the ratio of current to lowest latency above which the limit falls: batching costs some latency.
+	latencyTolerance = 2.0
+	minLatencyPeriod = 30 * time.Second
+	cutFactor        = 0.8
+	// slowStartShare is the fraction of the target latency below which the limit doubles with each round of requests.
+	// Engines batch, so the limit that suits a new server is far above initialServerLimit.
 	slowStartShare = 0.5
-	cutPause       = time.Second // between cuts, so that one slow batch counts once
+	minCutInterval = time.Second // minimum time between cuts, so that one slow batch causes only one cut
 )
 
-// NewServerLimits returns limits for servers that appear with their first request.
+// NewServerLimits returns the limits of a set of servers, each of which is added with its first request.
 func NewServerLimits(target time.Duration, now func() time.Time) *ServerLimits {
 	return &ServerLimits{now: now, target: target, byID: make(map[string]*serverLimit)}
 }
@@ -55,7 +55,7 @@
 	l.mu.Unlock()
 }
 
-// Keep drops the state of all other servers.
+// Keep drops the state of all servers that are not listed.
 func (l *ServerLimits) Keep(servers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	return s, l.target
 }
 
-// Acquire counts a request on a server; false means that the server is at its limit. Release must follow true.
+// Acquire counts a request on a server, to be followed by Release. It returns false when the server is at its limit.
 func (l *ServerLimits) Acquire(server string) bool {
 	s, _ := l.get(server)
 	s.mu.Lock()
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Observe learns from the time to the first token of a request that is in flight. It is told at the first token and not
-// at the end, which for a long answer comes a hundred times later.
+// Observe adapts the limit to the time to first token of a request in flight. It must be called at the first token and
+// not at the end of the answer, which for a long answer comes a hundred times later.
 func (l *ServerLimits) Observe(server string, latency time.Duration) {
 	s, target := l.get(server)
 	now := l.now()
@@ -107,7 +107,7 @@
 	s.adapt(latency.Seconds(), target.Seconds(), busy, now)
 }
 
-// Release ends a request.
+// Release counts a request as ended.
 func (l *ServerLimits) Release(server string) {
 	s, _ := l.get(server)
 	s.mu.Lock()
@@ -125,29 +125,29 @@
 
 func (s *serverLimit) adapt(latency, target float64, busy bool, now time.Time) {
 	if s.latency == 0 {
-		s.latency, s.best, s.bestAt = latency, [2]float64{latency, latency}, now
+		s.latency, s.minLatency, s.minLatencyAt = latency, [2]float64{latency, latency}, now
 	}
-	if now.Sub(s.bestAt) >= bestPeriod {
-		s.best = [2]float64{latency, s.best[0]}
-		s.bestAt = now
+	if now.Sub(s.minLatencyAt) >= minLatencyPeriod {
+		s.minLatency = [2]float64{latency, s.minLatency[0]}
+		s.minLatencyAt = now
 	}
-	s.best[0] = min(s.best[0], latency)
-	s.latency = latencyKeep*s.latency + (1-latencyKeep)*latency
+	s.minLatency[0] = min(s.minLatency[0], latency)
+	s.latency = latencyDecay*s.latency + (1-latencyDecay)*latency
 	if target > 0 && s.latency > target {
-		if now.Sub(s.cutAt) >= cutPause {
-			s.limit = max(minServerLimit, s.limit*targetCut)
+		if now.Sub(s.cutAt) >= minCutInterval {
+			s.limit = max(minServerLimit, s.limit*cutFactor)
 			s.cutAt = now
 		}
 		return
 	}
-	gradient := min(1, max(0.5, tolerance*min(s.best[0], s.best[1])/s.latency))
+	gradient := min(1, max(0.5, latencyTolerance*min(s.minLatency[0], s.minLatency[1])/s.latency))
 	next := s.limit*gradient + math.Sqrt(s.limit)
 	if next > s.limit && !busy {
-		return // a limit that is not used says nothing about a higher one
+		return // latency at low concurrency says nothing about a higher limit
 	}
 	next = s.limit + (next-s.limit)*limitStep/s.limit
 	if s.latency < slowStartShare*target {
-		next = s.limit + 1 // doubles the limit with each round of requests
+		next = s.limit + 1 // per request, so a round of requests doubles the limit
 	}
 	s.limit = min(maxServerLimit, max(minServerLimit, next))
 }
--- a/pkg/limit/shares_test.go
+++ b/pkg/limit/shares_test.go
@@ -10,18 +10,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// cluster runs the admissions of several nodes in virtual time, with gossip that takes up to 1.5 s.
+// cluster runs the Admissions of several nodes in virtual time, with gossip delays of up to 1.5 s.
 type cluster struct {
-	t        *testing.T
-	limit    uint32
-	now      time.Time
-	rng      *rand.Rand
-	nodes    map[string]*Admission
-	order    []string
-	offered  map[string]float64 // requests per second
-	cut      func(from, to string) bool
-	pending  []delivery
-	admitted []int // per 10 ms
+	t            *testing.T
+	limit        uint32
+	now          time.Time
+	rng          *rand.Rand
+	nodes        map[string]*Admission
+	names        []string
+	offered      map[string]float64 // requests per second
+	disconnected func(from, to string) bool
+	pending      []delivery
+	admitted     []int // per clusterStep
 }
 
 type delivery struct {
@@ -40,30 +40,30 @@
 	for _, name := range names {
 		c.join(name)
 	}
-	c.tellNodes()
+	c.updateMembers()
 	return c
 }
 
 func (c *cluster) join(name string) {
 	a := NewAdmission(Options{Node: name, Concurrency: 1 << 20, Now: func() time.Time { return c.now }})
 	c.nodes[name] = a
-	c.order = append(c.order, name)
-	a.SetNodes(c.order)
+	c.names = append(c.names, name)
+	a.SetNodes(c.names)
 	a.SetWorkspaces([]Workspace{{Name: "w", RequestsPerSecond: c.limit, TokensPerSecond: c.limit * clusterTokens}})
 }
 
-// tellNodes updates the members on all nodes; it is called late to model how membership spreads.
-func (c *cluster) tellNodes() {
-	for _, name := range c.order {
-		c.nodes[name].SetNodes(c.order)
+// updateMembers updates the membership on all nodes; tests call it late to model the propagation of membership changes.
+func (c *cluster) updateMembers() {
+	for _, name := range c.names {
+		c.nodes[name].SetNodes(c.names)
 	}
 }
 
 func (c *cluster) leave(name string) {
 	delete(c.nodes, name)
-	for i, n := range c.order {
+	for i, n := range c.names {
 		if n == name {
-			c.order = append(c.order[:i:i], c.order[i+1:]...)
+			c.names = append(c.names[:i:i], c.names[i+1:]...)
 			break
 		}
 	}
@@ -72,7 +72,7 @@
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(clusterStep) {
 		admitted := 0
-		for i, name := range c.order {
+		for i, name := range c.names {
 			a := c.nodes[name]
 			if c.now.UnixMilli()%1000 == int64(i*120)%1000 {
 				c.gossip(name, a.ExportDemand())
@@ -98,8 +98,8 @@
 }
 
 func (c *cluster) gossip(from string, demands []Demand) {
-	for _, to := range c.order {
-		if to != from && (c.cut == nil || !c.cut(from, to)) {
+	for _, to := range c.names {
+		if to != from && (c.disconnected == nil || !c.disconnected(from, to)) {
 			delay := time.Duration(c.rng.Float64() * float64(1500*time.Millisecond))
 			c.pending = append(c.pending, delivery{c.now.Add(delay), from, to, demands})
 		}
@@ -118,22 +118,22 @@
 	c.pending = kept
 }
 
-// worst returns the most admitted in any 10 s, over the limit.
-func (c *cluster) worst() float64 {
+// maxWindowRate returns the maximum admitted within any 10 s, relative to the limit.
+func (c *cluster) maxWindowRate() float64 {
 	const window = int(10 * time.Second / clusterStep)
-	sum, worst := 0, 0
+	sum, most := 0, 0
 	for i, n := range c.admitted {
 		sum += n
 		if i >= window {
 			sum -= c.admitted[i-window]
 		}
-		worst = max(worst, sum)
+		most = max(most, sum)
 	}
-	return float64(worst) / float64(10*c.limit)
+	return float64(most) / float64(10*c.limit)
 }
 
-// rate returns what was admitted in the last 5 s, over the limit.
-func (c *cluster) rate() float64 {
+// recentRate returns the admitted requests of the last 5 s, relative to the limit.
+func (c *cluster) recentRate() float64 {
 	sum := 0
 	for _, n := range c.admitted[len(c.admitted)-500:] {
 		sum += n
@@ -141,122 +141,123 @@
 	return float64(sum) / float64(5*c.limit)
 }
 
-var eight = []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}
+var eightNodes = []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}
 
 func (c *cluster) offer(rates ...float64) {
-	for i, name := range c.order {
+	for i, name := range c.names {
 		c.offered[name] = rates[i%len(rates)]
 	}
 }
 
-func (c *cluster) verify(name string) {
-	c.t.Logf("%s: most in any 10 s %.3f of the limit, %.3f in the last 5 s", name, c.worst(), c.rate())
-	assert.Assert(c.t, c.worst() <= 1.05, name)
+func (c *cluster) assertBound(name string) {
+	c.t.Logf("%s: at most %.3f of the limit in any 10 s, %.3f in the last 5 s", name, c.maxWindowRate(), c.recentRate())
+	assert.Assert(c.t, c.maxWindowRate() <= 1.05, name)
 }
 
-// Demand that moves between nodes faster than gossip must not add up to more than the limit, and must be served.
+// Demand that moves between nodes faster than gossip must not exceed the limit in sum, and must still be served.
 func TestOvershootWhenDemandMoves(t *testing.T) {
-	c := newCluster(t, 200, eight...)
+	c := newCluster(t, 200, eightNodes...)
 	c.offer(100)
 	c.run(15 * time.Second)
-	assert.Assert(t, c.rate() >= 0.9)
+	assert.Assert(t, c.recentRate() >= 0.9)
 	for range 6 {
 		c.offer(400, 0, 0, 0, 0, 0, 0, 0)
 		c.run(13 * time.Second)
-		assert.Assert(t, c.rate() >= 0.9, "%.3f", c.rate())
+		assert.Assert(t, c.recentRate() >= 0.9, "%.3f", c.recentRate())
 		c.offer(0, 0, 0, 300, 0, 0, 300, 0)
 		c.run(13 * time.Second)
-		assert.Assert(t, c.rate() >= 0.9, "%.3f", c.rate())
+		assert.Assert(t, c.recentRate() >= 0.9, "%.3f", c.recentRate())
 	}
-	c.verify("moving demand")
+	c.assertBound("moving demand")
 }
 
-// The share of nodes that leave must go to the others, but not before it has lapsed. Nodes that join start low.
+// The share of nodes that leave must go to the others, but not before its reservation expires. Nodes that join must
+// start with a small share.
 func TestOvershootWhenNodesLeaveAndJoin(t *testing.T) {
-	c := newCluster(t, 200, eight...)
+	c := newCluster(t, 200, eightNodes...)
 	c.offer(200)
 	c.run(20 * time.Second)
 	c.leave("n2")
 	c.leave("n5")
-	c.tellNodes()
+	c.updateMembers()
 	c.run(20 * time.Second)
-	c.verify("two leave")
-	assert.Assert(t, c.rate() >= 0.95)
+	c.assertBound("two leave")
+	assert.Assert(t, c.recentRate() >= 0.95)
 	c.join("n8")
 	c.join("n9")
 	c.offer(200)
 	c.run(2 * time.Second)
-	c.tellNodes()
+	c.updateMembers()
 	c.run(20 * time.Second)
-	c.verify("two join")
-	assert.Assert(t, c.rate() >= 0.95)
+	c.assertBound("two join")
+	assert.Assert(t, c.recentRate() >= 0.95)
 }
 
-// Nodes that lose touch must fall back to equal shares on both sides.
-func TestOvershootWhenNodesLoseTouch(t *testing.T) {
+// Nodes that lose contact must fall back to equal shares on both sides of a partition.
+func TestOvershootWhenNodesLoseContact(t *testing.T) {
 	side := func(name string) bool { return name >= "n4" }
 	for name, cut := range map[string]func(a, b string) bool{
 		"half and half": func(a, b string) bool { return side(a) != side(b) },
 		"one alone":     func(a, b string) bool { return a == "n0" || b == "n0" },
 		"all alone":     func(a, b string) bool { return true },
 	} {
-		c := newCluster(t, 200, eight...)
+		c := newCluster(t, 200, eightNodes...)
 		c.offer(300, 0, 0, 50, 0, 20, 0, 0)
 		c.run(20 * time.Second)
-		c.cut = cut
+		c.disconnected = cut
 		c.run(2 * time.Second)
 		c.offer(300)
 		c.run(30 * time.Second)
-		c.verify(name)
-		assert.Assert(t, c.rate() >= 0.45, name)
-		c.cut = nil
+		c.assertBound(name)
+		assert.Assert(t, c.recentRate() >= 0.45, name)
+		c.disconnected = nil
 		c.run(20 * time.Second)
-		c.verify(name + ", healed")
-		assert.Assert(t, c.rate() >= 0.95)
+		c.assertBound(name + ", healed")
+		assert.Assert(t, c.recentRate() >= 0.95)
 	}
 }
 
-// With a small limit, the one request that each node's bucket holds must not add up to more than the bound.
+// With a small limit, the single request that each node's bucket holds must not exceed the bound in sum.
 func TestOvershootOfSmallLimit(t *testing.T) {
-	c := newCluster(t, 10, eight...)
+	c := newCluster(t, 10, eightNodes...)
 	c.offer(2)
 	c.run(30 * time.Second)
 	c.offer(0)
 	c.run(30 * time.Second)
 	c.offer(20)
 	c.run(60 * time.Second)
-	c.verify("limit of 10")
-	// The price of the bound: the nodes' buckets are lowered by what they may hold, and a full bucket of one loses.
-	assert.Assert(t, c.rate() >= 0.7)
+	c.assertBound("limit of 10")
+	// The cost of the bound: the limit is lowered by what the buckets may hold, and refills of a full bucket are lost.
+	assert.Assert(t, c.recentRate() >= 0.7)
 }
 
-// A surge on all nodes must not pass the limit by what the buckets hold, nor lower what was admitted before.
+// A surge on all nodes must not exceed the limit by the contents of the buckets, nor reduce the admitted rate.
 func TestSurge(t *testing.T) {
-	c := newCluster(t, 200, eight...)
+	c := newCluster(t, 200, eightNodes...)
 	c.offer(15)
 	c.run(20 * time.Second)
 	c.offer(75)
 	c.run(5 * time.Second)
-	t.Logf("first 5 s of the surge: %.3f of the limit", c.rate())
-	assert.Assert(t, c.rate() >= 0.6)
+	t.Logf("first 5 s of the surge: %.3f of the limit", c.recentRate())
+	assert.Assert(t, c.recentRate() >= 0.6)
 	c.run(15 * time.Second)
-	c.verify("surge")
-	assert.Assert(t, c.rate() >= 0.95)
+	c.assertBound("surge")
+	assert.Assert(t, c.recentRate() >= 0.95)
 }
 
-// Nodes that join, not known to the others yet, must not add their share to that of the others during a surge.
+// Nodes that join, and are not known to the others yet, must not add a full share to those of the others in a surge.
 func TestOvershootWhenNodesJoinInSurge(t *testing.T) {
-	c := newCluster(t, 200, eight...)
+	c := newCluster(t, 200, eightNodes...)
 	c.offer(15)
 	c.run(20 * time.Second)
 	for _, name := range []string{"n8", "n9", "na", "nb", "nc", "nd", "ne", "nf"} {
 		c.join(name)
 	}
-	c.cut = func(from, to string) bool { return from > "n7" || to > "n7" }
+	c.disconnected = func(from, to string) bool { return from > "n7" || to > "n7" }
 	c.offer(75)
 	c.run(2 * time.Second)
-	c.cut = nil
-	c.tellNodes()
+	c.disconnected = nil
+	c.updateMembers()
 	c.run(20 * time.Second)
-	c.verify("eight join")
+	c.assertBound("eight join")
 }
--- a/pkg/limit/status.go
+++ b/pkg/limit/status.go
@@ -7,15 +7,16 @@
 
 // Status describes an Admission for operators.
 type Status struct {
-	// Slots is how many requests may run at a time, Running how many do, Waiting how many queue.
+	// Slots is the number of requests that may run at the same time, Running and Waiting are the numbers of those that
+	// run and that are queued.
 	Slots      int64             `json:"slots"`
 	Running    int64             `json:"running"`
 	Waiting    int64             `json:"waiting"`
 	Workspaces []WorkspaceStatus `json:"workspaces"`
 }
 
-// WorkspaceStatus is the state of one workspace on this node. The shares are this node's parts of the limits over all
-// nodes; 0 means no limit.
+// WorkspaceStatus is the state of one workspace on this node. The rates and Concurrent are this node's shares of limits
+// that apply to all nodes together; 0 means no limit.
 type WorkspaceStatus struct {
 	Name              string  `json:"workspace"`
 	Open              int64   `json:"open"`
@@ -24,11 +25,11 @@
 	Concurrent        float64 `json:"concurrent,omitempty"`
 }
 
-// Status returns the present state, workspaces in the order of their names.
+// Status returns the current state, with the workspaces sorted by name.
 func (a *Admission) Status() Status {
 	out := Status{Slots: a.queue.slots.Load(), Running: a.queue.taken.Load(), Waiting: a.queue.waiting.Load()}
 	now := a.now()
-	a.each(func(name string, w *workspace) {
+	a.forEachWorkspace(func(name string, w *workspace) {
 		share := a.shares.Share(name, now)
 		out.Workspaces = append(out.Workspaces, WorkspaceStatus{
 			Name:              name,
@@ -42,7 +43,7 @@
 	return out
 }
 
-// finite maps infinity, which JSON cannot hold, to 0.
+// finite maps infinity, which JSON cannot represent, to 0.
 func finite(x float64) float64 {
 	if math.IsInf(x, 0) {
 		return 0
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a retry storm: in no window may the repeats exceed their share, whatever was saved before.
+// Guards against a retry storm: in no window may retries exceed the ratio of requests plus the allowance, however few
+// there were before.
 func TestRepeatsKeepToTheWindow(t *testing.T) {
 	const (
 		ratio, allowance = 0.2, 7.0
@@ -16,20 +17,20 @@
 	)
 	w := NewRetryWindow(ratio, window, allowance)
 	now := time.Unix(1000, 0)
-	var repeats, requests []time.Time
+	var retries, requests []time.Time
 	for i := range 4000 {
 		now = now.Add(step)
-		// A quiet time, then all servers fail.
+		// Low load without failures, then all servers fail.
 		if i < 2000 && i%5 == 0 || i >= 2000 {
 			w.Request(now)
 			requests = append(requests, now)
 		}
 		for i >= 2000 && w.Repeat(now) {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
-	assert.Assert(t, len(repeats) > 100)
-	for _, end := range repeats {
+	assert.Assert(t, len(retries) > 100)
+	for _, end := range retries {
 		count := func(list []time.Time) (n float64) {
 			for _, at := range list {
 				if !at.After(end) && end.Sub(at) < window {
@@ -38,7 +39,7 @@
 			}
 			return n
 		}
-		// One more slot of the window may still count.
-		assert.Assert(t, count(repeats) <= ratio*1.11*count(requests)+allowance+1, "at %v", end)
+		// The window may include up to one slot more than its nominal length.
+		assert.Assert(t, count(retries) <= ratio*1.11*count(requests)+allowance+1, "at %v", end)
 	}
 }
