--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -1,8 +1,8 @@
-// Package usage counts the requests of each workspace that began to run in each window of the wall clock, on one node
-// and over all nodes.
+// Package usage counts the started requests of each workspace per window of wall-clock time, on one node and over all
+// nodes.
 //
-// Counts of a node only grow, so that the newest one heard is the right one, whatever was lost or came twice. Every
-// node hears the counts of all others; any of them can report a window.
+// The counts of a node only increase, so the highest one received is the current one, even if messages are lost,
+// repeated or reordered. Every node receives the counts of all others; any of them can report a window.
 package usage
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// keepWindows is how many windows are kept, the current one included.
-const keepWindows = 6
+// maxWindows is the number of windows that are kept per node, the current one included.
+const maxWindows = 6
 
-// Window is the counts of one node in one window.
+// Window holds the counts of one node in one window, by workspace.
 type Window struct {
-	// Number is the window's start divided by its length since 1970.
+	// Number is the start of the window, as time since the Unix epoch, divided by the length of a window.
 	Number int64
 	Counts map[string]int64
 }
 
-// Counter holds the counts that one node knows.
+// Counter holds the counts of all nodes that are known to one node. It is safe for concurrent use.
 type Counter struct {
 	mu     sync.Mutex
 	length time.Duration
@@ -29,25 +29,26 @@
 	self   string
 }
 
-// New returns a Counter of windows of a length. The node's name must differ after a restart.
+// New returns a Counter for the node self with windows of the given length. A node must have another name after a
+// restart, since its counts start at 0 again.
 func New(self string, length time.Duration) *Counter {
 	return &Counter{length: length, self: self, nodes: map[string]map[int64]map[string]int64{}}
 }
 
-// NumberAt returns the window of a time.
+// NumberAt returns the number of the window that contains a time.
 func (c *Counter) NumberAt(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
 
 // EndOf returns the end of a window.
 func (c *Counter) EndOf(number int64) time.Time { return time.Unix(0, (number+1)*int64(c.length)) }
 
-// Began counts a request that began to run.
+// Began counts a request that started to run on this node.
 func (c *Counter) Began(workspace string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.window(c.self, c.NumberAt(at))[workspace]++
 }
 
-// Heard takes the counts of another node.
+// Heard merges the counts of another node.
 func (c *Counter) Heard(node string, windows []Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// Own returns this node's windows from a number on.
+// Own returns copies of this node's windows with at least the given number, in no particular order.
 func (c *Counter) Own(from int64) []Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 	return out
 }
 
-// Total returns the counts of all nodes in a window; workspaces without requests are missing.
+// Total returns the sums over all nodes in a window, by workspace. Workspaces without requests are missing.
 func (c *Counter) Total(number int64) map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +97,7 @@
 		counts = map[string]int64{}
 		windows[number] = counts
 		for old := range windows {
-			if old <= number-keepWindows {
+			if old <= number-maxWindows {
 				delete(windows, old)
 			}
 		}
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against counts that are added twice or lost when messages repeat, come in another order or a node restarts.
-func TestTotalsSurviveRepeatsAndRestarts(t *testing.T) {
+// Guards against counts that are added twice or lost when messages are repeated or reordered or a node restarts.
+func TestTotalsAreCorrectAfterRepeatsAndRestarts(t *testing.T) {
 	c := New("a@1", time.Second)
 	at := time.Unix(100, 5)
 	c.Began("w", at)
@@ -21,11 +21,11 @@
 	assert.Equal(t, c.EndOf(number), time.Unix(101, 0))
 }
 
-// Guards against memory that grows with the days.
-func TestOldWindowsAreForgotten(t *testing.T) {
+// Guards against memory use that grows with uptime.
+func TestOldWindowsAreDropped(t *testing.T) {
 	c := New("a@1", time.Second)
 	for i := range int64(100) {
 		c.Began("w", time.Unix(i, 0))
 	}
-	assert.Equal(t, len(c.Own(0)), keepWindows)
+	assert.Equal(t, len(c.Own(0)), maxWindows)
 }
