--- a/pkg/elastic/elastic.go
+++ b/pkg/elastic/elastic.go
@@ -1,13 +1,13 @@
-// Package elastic plans how many servers of a service run in each failure domain, of those that may be reclaimed and of
-// others.
+// Package elastic plans how many servers of a service run in each failure domain, of two kinds: reclaimable servers,
+// which the platform may take away, and lasting (on-demand) ones, which it does not.
 //
-// Load pattern: reclaimable servers cost a small part of the others' price, but all of a failure domain go at once with
-// two or three seconds of notice, several domains follow each other, and for a while none are to be had anywhere. A
-// fixed number is wrong on most days: too few others lose requests during a reclaim, too many cost as much as what they
-// save. The plan keeps more reclaimable servers than the load needs, spread so that the loss of a domain leaves enough,
-// and orders others for what is missing from the first second of a notice on.
+// Load pattern: reclaimable servers cost a fraction of the price of lasting ones, but all in a failure domain are
+// reclaimed at once with two or three seconds of notice, several domains follow each other, and for a while none are
+// available anywhere. A fixed number is wrong on most days: too few lasting servers lose requests during a reclaim, too
+// many cost as much as reclaimable ones save. The plan keeps more reclaimable servers than the load needs, spread so that
+// enough remain after the loss of a domain, and orders lasting ones for the shortfall as soon as a notice arrives.
 //
-// Plan is a pure function of counts; the holder of the duty calls it about once a second.
+// Plan is a pure function of its input; the node that holds the "duties" lease calls it about once a second.
 package elastic
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Order asks for a number of servers of one kind in a failure domain. It is absolute, so that a repeated or late one is
-// harmless.
+// Order requests a number of servers of one kind in a failure domain. The number is a total and not a difference, so a
+// repeated or late order is harmless.
 type Order struct {
 	Service     string
 	Domain      string
@@ -29,91 +29,92 @@
 type Domain struct {
 	Name  string
 	Price float64
-	// Reclaimable and Lasting are the servers of each kind that serve and are not leaving.
+	// Reclaimable and Lasting are the numbers of servers of each kind that serve and are not leaving.
 	Reclaimable, Lasting int
-	// Refused is set while reclaimable servers were refused here lately, Accepted when the last order of some was taken.
+	// Refused is set if reclaimable servers were recently refused here, Accepted if the last order of some was accepted.
 	Refused, Accepted bool
 }
 
-// Input is what a plan depends on.
+// Input is the input of Plan for one service.
 type Input struct {
 	Service string
-	// Load is the mean work of all nodes and Peak that of the busiest seconds lately, in fully used servers.
+	// Load is the mean load of all nodes and Peak that of the busiest recent seconds, in fully used servers.
 	Load, Peak float64
-	// Known is false until the load has been seen for a while; Initial is the number of servers needed until then.
+	// Known is false until the load has been observed for a while; Initial is the number of servers needed until then.
 	Known   bool
 	Initial int
-	// Idle is set while a deployment that starts for the first time has seen no work at all.
+	// Idle is set while a deployment that starts for the first time has had no load at all.
 	Idle bool
-	// Min and Max bound the servers of a domain.
+	// Min and Max bound the number of servers of a domain, both kinds together.
 	Min, Max int
 	Domains  []Domain
 }
 
 const (
-	// peakUse is the part of a server that is planned to be used at a peak. Above it clumps of long prompts delay the
-	// first events of all others. Reclaimable servers, at about a sixth of the price, follow the peak.
-	peakUse = 0.6
-	// meanUse is the same for the mean load, which the expensive servers follow.
-	meanUse = 0.7
-	// lossUse is the part that may be used right after the loss of a domain while reclaimable servers are refused.
-	lossUse = 0.9
-	// reclaimableSurplus is how many reclaimable servers are kept for each one needed: what is left after the loss of two
-	// domains of four costs less than lasting servers ordered in their place.
-	reclaimableSurplus = 1.7
-	// unknownSurplus is how many reclaimable servers are kept for each server present while the load is not known: callers
-	// come all at once, and their prompts are cached nowhere.
-	unknownSurplus = 1.2
-	// minServers is kept for a service whatever its load.
+	// peakUtilization is the planned utilization of servers at the peak load. Above it, bursts of long prompts delay the
+	// first events of all other requests. Reclaimable servers, at about a sixth of the price, follow the peak.
+	peakUtilization = 0.6
+	// meanUtilization is the planned utilization at the mean load, which the expensive lasting servers follow.
+	meanUtilization = 0.7
+	// lossUtilization is the planned utilization right after the loss of a domain while reclaimable servers are refused.
+	lossUtilization = 0.9
+	// reclaimableFactor is the number of reclaimable servers that are kept for each one needed: having enough left after
+	// the loss of two domains out of four costs less than ordering lasting servers in their place.
+	reclaimableFactor = 1.7
+	// unknownLoadFactor is the factor by which the peak is planned above Initial while the load is not known: callers
+	// arrive all at once, and none of their prompts are cached.
+	unknownLoadFactor = 1.2
+	// minServers is the number of servers of a service that are needed whatever its load.
 	minServers = 6
-	// idleLasting is how many lasting servers of a domain wait for the first work while reclaimable ones boot there.
+	// idleLasting is the number of lasting servers of a domain that are kept for the first requests while reclaimable
+	// ones boot there.
 	idleLasting = 2
 )
 
-// Needed returns how many servers a plan needed that keeps a number of reclaimable ones.
+// Needed returns the number of needed servers for which a plan keeps the given number of reclaimable ones.
 func Needed(reclaimable int) int {
-	return int(math.Round(float64(reclaimable) / reclaimableSurplus))
+	return int(math.Round(float64(reclaimable) / reclaimableFactor))
 }
 
-// Counts is the planned number of servers of a domain.
+// Counts holds the planned numbers of servers of a domain.
 type Counts struct {
 	Reclaimable, Lasting int
 }
 
-// Plan returns the counts of each domain.
+// Plan returns the planned counts by domain.
 func Plan(in Input) map[string]Counts {
 	plan := make(map[string]Counts, len(in.Domains))
 	if len(in.Domains) == 0 {
 		return plan
 	}
-	need, peak := max(in.Initial, minServers), max(int(math.Ceil(unknownSurplus*float64(in.Initial))), minServers)
+	needed, peak := max(in.Initial, minServers), max(int(math.Ceil(unknownLoadFactor*float64(in.Initial))), minServers)
 	if in.Known {
-		need = max(int(math.Ceil(in.Load/meanUse)), minServers)
-		peak = max(int(math.Ceil(in.Peak/peakUse)), need)
+		needed = max(int(math.Ceil(in.Load/meanUtilization)), minServers)
+		peak = max(int(math.Ceil(in.Peak/peakUtilization)), needed)
 	}
 	planReclaimable(in, peak, plan)
-	alive, largest, scarce := 0, 0, false
+	remaining, largest, scarce := 0, 0, false
 	for _, d := range in.Domains {
 		kept := min(d.Reclaimable, plan[d.Name].Reclaimable)
-		alive += kept
+		remaining += kept
 		largest = max(largest, kept)
 		scarce = scarce || d.Refused
 	}
-	missing := need - alive
+	shortfall := needed - remaining
 	if scarce && in.Known {
-		// The next domain may be reclaimed before a lasting server has booted, and nothing replaces it.
-		missing = max(missing, int(math.Ceil(in.Load/lossUse))-(alive-largest))
+		// The next domain may be reclaimed before a lasting server has booted, and its servers cannot be replaced.
+		shortfall = max(shortfall, int(math.Ceil(in.Load/lossUtilization))-(remaining-largest))
 	}
-	if in.Idle && !in.Known && missing > 0 {
+	if in.Idle && !in.Known && shortfall > 0 {
 		planIdle(in, plan)
 		return plan
 	}
-	planLasting(in, missing, plan)
+	planLasting(in, shortfall, plan)
 	return plan
 }
 
-// planIdle replaces most lasting servers of a deployment that has no work yet, before their cheap successors have booted:
-// the maximum of a domain holds for both kinds, so that they could not be ordered beside each other.
+// planIdle gives up most lasting servers of a deployment without load before the reclaimable ones that replace them have
+// booted: the maximum of a domain applies to both kinds together, so there would be no room to run both.
 func planIdle(in Input, plan map[string]Counts) {
 	for _, d := range in.Domains {
 		c := plan[d.Name]
@@ -126,36 +127,36 @@
 	}
 }
 
-// planReclaimable spreads reclaimable servers evenly over the domains. A domain that refuses keeps what it has, and
-// the others take its part.
-func planReclaimable(in Input, need int, plan map[string]Counts) {
-	open, kept := 0, 0
+// planReclaimable spreads reclaimable servers evenly over the domains. A domain that refuses orders keeps its servers,
+// and the others make up for the rest of its part.
+func planReclaimable(in Input, needed int, plan map[string]Counts) {
+	accepting, kept := 0, 0
 	for _, d := range in.Domains {
 		if d.Refused {
 			kept += d.Reclaimable
 		} else {
-			open++
+			accepting++
 		}
 	}
-	total := int(math.Ceil(float64(need) * reclaimableSurplus))
-	each := 0
-	if open > 0 {
-		each = max(0, (total-kept+open-1)/open)
+	total := int(math.Ceil(float64(needed) * reclaimableFactor))
+	perDomain := 0
+	if accepting > 0 {
+		perDomain = max(0, (total-kept+accepting-1)/accepting)
 	}
 	for _, d := range in.Domains {
-		count := min(each, in.Max-1)
+		count := min(perDomain, in.Max-1)
 		if d.Refused {
-			// One more than there is asks again without a plan that counts on it.
+			// The order stays open to be retried; Plan counts only the servers that exist.
 			count = min(max(d.Reclaimable, min((total+len(in.Domains)-1)/len(in.Domains), in.Max-1)), in.Max)
 		}
 		plan[d.Name] = Counts{Reclaimable: count}
 	}
 }
 
-// planLasting covers what reclaimable servers do not. Servers that run already are kept where they are, since a server
-// that is moved boots for seconds and has lost its cache; the cheapest domains keep and get theirs first. Lasting servers
-// are not reclaimed, so that spreading them buys little.
-func planLasting(in Input, missing int, plan map[string]Counts) {
+// planLasting covers the shortfall of reclaimable servers. Running servers stay in their domain, since a replacement
+// boots for seconds and starts with an empty cache; the cheapest domains keep and get servers first. Lasting servers are
+// not reclaimed, so there is little to gain from spreading them.
+func planLasting(in Input, shortfall int, plan map[string]Counts) {
 	domains := append([]Domain(nil), in.Domains...)
 	sort.Slice(domains, func(i, j int) bool {
 		if domains[i].Price != domains[j].Price {
@@ -165,10 +166,10 @@
 	})
 	for _, d := range domains {
 		c := plan[d.Name]
-		// The operator's minimum holds for both kinds together; a server that may be reclaimed does not secure it.
+		// The operator's minimum applies to both kinds together; planned reclaimable servers count towards it.
 		if c.Reclaimable < in.Min {
 			c.Lasting = in.Min - c.Reclaimable
-			missing -= c.Lasting
+			shortfall -= c.Lasting
 			plan[d.Name] = c
 		}
 	}
@@ -179,13 +180,13 @@
 			if existing {
 				room = min(room, d.Lasting-c.Lasting)
 			}
-			more := max(0, min(missing, room))
+			more := max(0, min(shortfall, room))
 			c.Lasting += more
-			missing -= more
+			shortfall -= more
 			plan[d.Name] = c
 		}
 	}
-	// Both kinds together keep to the maximum.
+	// The maximum applies to both kinds together.
 	for _, d := range domains {
 		c := plan[d.Name]
 		c.Reclaimable = min(c.Reclaimable, in.Max-c.Lasting)
@@ -193,22 +194,22 @@
 	}
 }
 
-// Smoother averages the load and remembers its peaks, so that a pause between two clumps of requests does not send
-// servers away that take seconds to boot, and a single clump does not order expensive ones.
+// Smoother averages the load and tracks its decaying peak, so that a pause between two bursts of requests does not stop
+// servers that take seconds to boot, and a single burst does not order expensive ones.
 type Smoother struct {
-	// RiseHalfLife and FallHalfLife are the times in which the mean takes over half of a higher and of a lower load;
-	// PeakHalfLife is that in which a peak is half forgotten.
+	// RiseHalfLife and FallHalfLife are the times in which the mean covers half the distance to a higher and to a lower
+	// load; PeakHalfLife is that in which the peak covers half the distance to a lower load.
 	RiseHalfLife, FallHalfLife, PeakHalfLife time.Duration
 	mean, peak                               float64
 	at                                       time.Time
 }
 
-// Inherit takes over a fleet that an earlier planner has ordered: its peak is the load for which such a fleet is planned,
-// in fully used servers. Without it a planner that starts while callers are away, as after the loss of all nodes, would
-// give up servers whose load returns within seconds.
-func (s *Smoother) Inherit(needed int) { s.peak = float64(needed) * peakUse }
+// Inherit initialises the peak for a fleet that an earlier planner has ordered: it is the load, in fully used servers,
+// for which a fleet with the given number of needed servers is planned. Without it, a planner that starts while there is
+// no traffic, as after the loss of all nodes, would give up servers whose load returns within seconds.
+func (s *Smoother) Inherit(needed int) { s.peak = float64(needed) * peakUtilization }
 
-// Observe takes the load now and returns its mean and peak.
+// Observe adds a sample of the load at now and returns the mean and the peak.
 func (s *Smoother) Observe(load float64, now time.Time) (mean, peak float64) {
 	if s.at.IsZero() {
 		s.mean = load
--- a/pkg/elastic/elastic_test.go
+++ b/pkg/elastic/elastic_test.go
@@ -23,16 +23,17 @@
 	return reclaimable, lasting
 }
 
-// Guards against lasting servers that are paid for while cheap ones carry the load.
-func TestCheapServersCarryTheLoadWhenTheyAreToBeHad(t *testing.T) {
+// Guards against paying for lasting servers while reclaimable ones carry the load.
+func TestReclaimableServersCarryTheLoadWhenAvailable(t *testing.T) {
 	in := Input{Load: 6, Peak: 7, Known: true, Min: 1, Max: 10, Domains: fourDomains(6, 4)}
 	reclaimable, lasting := totals(Plan(in))
 	assert.Equal(t, lasting, 0)
-	assert.Assert(t, float64(reclaimable) >= in.Peak/peakUse)
+	assert.Assert(t, float64(reclaimable) >= in.Peak/peakUtilization)
 }
 
-// Replays the reclaim of one domain after the other while no reclaimable servers are to be had. Guards against a plan that
-// counts on them: at each moment the servers alive and ordered carry the mean load.
+// Simulates the reclaim of one domain after the other while no reclaimable servers are available. Guards against a plan
+// that counts on ordered reclaimable ones: at each step the running servers and the lasting ones ordered carry the mean
+// load.
 func TestReclaimOfSeveralDomainsIsCovered(t *testing.T) {
 	in := Input{Load: 8, Peak: 9, Known: true, Min: 1, Max: 10, Domains: fourDomains(8, 0)}
 	for i := range 3 {
@@ -41,19 +42,19 @@
 			in.Domains[j].Refused = true
 		}
 		plan := Plan(in)
-		alive := 0
+		running := 0
 		for _, d := range in.Domains {
 			c := plan[d.Name]
-			alive += min(d.Reclaimable, c.Reclaimable) + c.Lasting
+			running += min(d.Reclaimable, c.Reclaimable) + c.Lasting
 			assert.Assert(t, c.Reclaimable+c.Lasting <= in.Max, "%s: %+v", d.Name, c)
 		}
-		assert.Assert(t, float64(alive) >= in.Load/meanUse, "after %d domains: %d", i+1, alive)
+		assert.Assert(t, float64(running) >= in.Load/meanUtilization, "after %d domains: %d", i+1, running)
 	}
-	// The lasting servers are ordered where they are cheapest.
+	// The lasting servers are ordered in the cheapest domains.
 	assert.Assert(t, Plan(in)["b"].Lasting > Plan(in)["c"].Lasting)
 }
 
-// Guards against a fleet that shrinks by its own orders before the first callers come.
+// Guards against plans that shrink the fleet step by step before the first requests arrive.
 func TestUnknownLoadKeepsTheFleet(t *testing.T) {
 	in := Input{Initial: 18, Min: 1, Max: 10, Domains: fourDomains(0, 4)}
 	for range 5 {
@@ -66,8 +67,8 @@
 	assert.Assert(t, reclaimable+lasting >= in.Initial)
 }
 
-// Guards against orders that follow every clump of requests up and down.
-func TestSmootherFollowsUpwardFasterThanDownward(t *testing.T) {
+// Guards against orders that follow every burst of requests up and down.
+func TestSmootherRisesFasterThanItFalls(t *testing.T) {
 	s := Smoother{RiseHalfLife: time.Second, FallHalfLife: 4 * time.Second, PeakHalfLife: 4 * time.Second}
 	now := time.Unix(1000, 0)
 	observe := func(load float64) (mean, peak float64) {
@@ -85,20 +86,20 @@
 	assert.Assert(t, mean < 4.2 && peak < 4.2)
 }
 
-// Guards against servers that are stopped in one domain and started in a cheaper one while all of them are needed.
+// Guards against stopping servers in one domain and starting them in a cheaper one while all of them are needed.
 func TestRunningServersAreNotMoved(t *testing.T) {
 	in := Input{Initial: 16, Min: 1, Max: 10, Domains: fourDomains(0, 4)}
 	for _, d := range in.Domains {
 		assert.Equal(t, Plan(in)[d.Name].Lasting, 4, d.Name)
 	}
-	// What is not needed any more goes where it costs most.
-	in.Known, in.Load, in.Peak = true, 8*meanUse, 8*meanUse
+	// Servers that are no longer needed are given up in the most expensive domains.
+	in.Known, in.Load, in.Peak = true, 8*meanUtilization, 8*meanUtilization
 	assert.Equal(t, Plan(in)["b"].Lasting, 4)
 	assert.Equal(t, Plan(in)["c"].Lasting, 0)
 }
 
-// Guards against a gap of the time that a lasting server boots when the last domain with reclaimable ones is reclaimed
-// while none are to be had: what is left then must carry the load.
+// Guards against missing capacity for the boot time of a lasting server, when the last domain with reclaimable ones is
+// reclaimed while none are available: the remaining servers must carry the load.
 func TestLossOfTheNextDomainIsCoveredWhileServersAreScarce(t *testing.T) {
 	in := Input{Load: 7, Peak: 8, Known: true, Min: 1, Max: 10, Domains: fourDomains(0, 0)}
 	in.Domains[0].Reclaimable, in.Domains[3].Reclaimable = 7, 7
@@ -112,7 +113,8 @@
 	assert.Assert(t, float64(lasting) >= in.Load)
 }
 
-// Guards against a planner that takes over in a lull, or after the loss of all nodes, and gives up the fleet that it finds.
+// Guards against a new planner that gives up the existing fleet because it starts during a pause in traffic or after the
+// loss of all nodes.
 func TestTakeoverKeepsTheFleet(t *testing.T) {
 	s := Smoother{RiseHalfLife: time.Second, FallHalfLife: 4 * time.Second, PeakHalfLife: 12 * time.Second}
 	in := Input{Known: true, Min: 1, Max: 60, Domains: fourDomains(30, 0)}
@@ -123,15 +125,15 @@
 	assert.Assert(t, reclaimable >= 118, "%d", reclaimable)
 	in.Load, in.Peak = s.Observe(2, now.Add(time.Minute))
 	reclaimable, _ = totals(Plan(in))
-	assert.Assert(t, reclaimable < 40, "%d are kept for ever", reclaimable)
+	assert.Assert(t, reclaimable < 40, "%d are kept although the peak has decayed", reclaimable)
 }
 
-// Guards against dear servers that wait for the first work, because the maximum of a domain leaves no room to order cheap
-// ones beside them, and against giving them up where no cheap ones are to be had.
-func TestIdleDeploymentIsMovedToCheapServers(t *testing.T) {
+// Guards against keeping expensive servers without load because the maximum of a domain leaves no room for reclaimable
+// ones, and against giving them up where no reclaimable ones are available.
+func TestIdleDeploymentMovesToReclaimableServers(t *testing.T) {
 	in := Input{Initial: 22, Idle: true, Min: 1, Max: 10, Domains: fourDomains(0, 6)}
 	reclaimable, lasting := totals(Plan(in))
-	assert.Equal(t, lasting, 24, "nothing is accepted yet")
+	assert.Equal(t, lasting, 24, "no order is accepted yet")
 	assert.Equal(t, reclaimable, 16)
 	for i := range in.Domains[:3] {
 		in.Domains[i].Accepted = true
@@ -146,11 +148,11 @@
 		in.Domains[i].Reclaimable = 8
 	}
 	_, lasting = totals(Plan(in))
-	assert.Equal(t, lasting, 0, "the cheap ones serve")
+	assert.Equal(t, lasting, 0, "the reclaimable servers serve")
 	in.Idle = false
 	for i := range in.Domains {
 		in.Domains[i].Reclaimable = 0
 	}
 	_, lasting = totals(Plan(in))
-	assert.Assert(t, lasting >= 22, "work has come before they serve")
+	assert.Assert(t, lasting >= 22, "the load arrives before the reclaimable servers serve")
 }
