--- a/pkg/serving/check.go
+++ b/pkg/serving/check.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Fault is something in a configuration that a node can put into force but that will not do what its writer wants.
+// Fault is an error in a configuration that a node can apply but that does not have the intended effect.
 type Fault struct {
-	// Field names the part of the configuration, like routes.checkout.prefix.
+	// Field is the path of the faulty part of the configuration, such as routes.checkout.prefix.
 	Field, Reason string
 }
 
 func (f Fault) String() string { return f.Field + ": " + f.Reason }
 
-// Faults returns all faults of the configuration. Nodes serve what they can of such a configuration; an operator checks it
-// before it is written.
+// Faults returns all faults of the configuration. Nodes serve the valid parts of a faulty configuration; operators check
+// a configuration before it is stored.
 func (c *Config) Faults() []Fault {
 	var faults []Fault
 	for _, host := range slices.Sorted(maps.Keys(c.routes)) {
@@ -95,7 +95,7 @@
 		}
 		for _, key := range w.Keys {
 			if other, ok := owner[key]; ok {
-				// The key itself is a secret and stays out of the message.
+				// The key is a secret and must not appear in the message.
 				faults = append(faults, Fault{"workspaces." + w.Name + ".keys", "a key is also one of " + other})
 			}
 			owner[key] = w.Name
--- a/pkg/serving/check_test.go
+++ b/pkg/serving/check_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against faults of a configuration that an operator learns of only from requests that fail.
+// Guards against configuration faults that an operator would notice only by failing requests.
 func TestFaultsNameTheField(t *testing.T) {
 	routes := []*Route{
 		{Name: "good", Host: "a.example", Prefix: "/x/", Targets: []Target{{Service: "s", Weight: 1}}},
--- a/pkg/serving/config.go
+++ b/pkg/serving/config.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Config is one version of the operators' configuration. It is immutable.
+// Config is one version of the operator's configuration. It is immutable.
 type Config struct {
 	Version    uint64
 	Services   map[string]*Service
@@ -17,7 +17,7 @@
 	keys   map[string]*Workspace
 }
 
-// NewConfig indexes routes and keys.
+// NewConfig returns a Config with an index of its routes by host and of its workspaces by key.
 func NewConfig(version uint64, routes []*Route, services []*Service, workspaces []*Workspace, limits Limits) *Config {
 	c := &Config{Version: version, Services: make(map[string]*Service, len(services)), Workspaces: workspaces,
 		Limits: limits, routes: make(map[string][]*Route), keys: make(map[string]*Workspace)}
@@ -39,7 +39,8 @@
 	return c
 }
 
-// Match returns the route with the longest prefix of the path on a host, or nil. The host may carry a port.
+// Match returns the route of a host with the longest matching path prefix, or nil. The host is case-insensitive and may
+// include a port.
 func (c *Config) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -52,13 +53,14 @@
 	return nil
 }
 
-// NeedsKey reports whether requests on the route must carry a key.
+// NeedsKey reports whether requests on the route must carry an API key.
 func (c *Config) NeedsKey(r *Route) bool { return len(c.Workspaces) > 0 && !r.Public }
 
-// WorkspaceOf returns the workspace that holds a key, or nil.
+// WorkspaceOf returns the workspace with the given API key, or nil.
 func (c *Config) WorkspaceOf(key string) *Workspace { return c.keys[key] }
 
-// Rank returns the priority of a request: the workspace's where it has one, otherwise the route's.
+// Rank returns the priority of a request: that of the workspace if it has one, otherwise that of the route. The workspace
+// may be nil.
 func Rank(r *Route, w *Workspace) int {
 	if w != nil && w.HasPriority {
 		return w.Priority
--- a/pkg/serving/config_test.go
+++ b/pkg/serving/config_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a request that goes to the route of a shorter prefix, another host or a removed key.
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+// Guards against matching a route with a shorter prefix or of another host, and against accepting an unknown key.
+func TestLongestPrefixOfTheHostMatches(t *testing.T) {
 	short, long := &Route{Name: "short", Host: "Shop.example", Prefix: "/a/"}, &Route{Name: "long", Host: "shop.example", Prefix: "/a/b/"}
 	w := &Workspace{Name: "guild", Keys: []string{"k"}}
 	c := NewConfig(1, []*Route{short, long}, nil, []*Workspace{w}, Limits{})
@@ -20,8 +20,8 @@
 	assert.Assert(t, c.NeedsKey(long) && !c.NeedsKey(&Route{Public: true}))
 }
 
-// Guards against a workspace whose rank of 0 is taken for none.
-func TestRankOfTheWorkspaceGoesFirst(t *testing.T) {
+// Guards against treating a workspace's priority of 0 as unset.
+func TestWorkspacePriorityOverridesThatOfTheRoute(t *testing.T) {
 	r := &Route{Priority: 2}
 	assert.Equal(t, Rank(r, nil), 2)
 	assert.Equal(t, Rank(r, &Workspace{}), 2)
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -1,8 +1,8 @@
-// Package serving holds the types that front doors, decisions and adapters share: requests, routes, workspaces,
-// services and backend servers, in the product's own terms.
+// Package serving defines the domain types that HTTP front ends, decision logic and protocol adapters share: requests,
+// routes, workspaces, services and backend servers.
 //
-// Adapters decode the names of a wire format into these types once. Decisions take them as plain inputs, so that they
-// can be tested without any input or output.
+// Adapters decode wire formats into these types. The decision logic takes them as plain inputs, so that it can be tested
+// without I/O.
 package serving
 
 import (
@@ -13,51 +13,51 @@
 type RepeatRule uint8
 
 const (
-	// AtMostOnce requests run once or not at all; a send without an answer is final.
+	// AtMostOnce requests run at most once; a request that was sent and not answered is not sent again.
 	AtMostOnce RepeatRule = iota
 	// Repeatable requests may run any number of times.
 	Repeatable
-	// Resumable streams may continue on another server after the last event that was delivered.
+	// Resumable streams may be continued on another server after the last event delivered to the caller.
 	Resumable
 )
 
 // MayRepeat reports whether a request that may have run can be sent again.
 func (r RepeatRule) MayRepeat() bool { return r != AtMostOnce }
 
-// Target is one service of a route with its share of the requests.
+// Target is one service of a route with its weight in the distribution of requests.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Route says where requests of a host and path prefix go and how they are treated.
+// Route determines how requests for a host and path prefix are routed and handled.
 type Route struct {
 	Name, Host, Prefix string
 	// Stream is set when the response is a sequence of numbered events.
 	Stream  bool
 	Repeat  RepeatRule
 	Targets []Target
-	// MaxAttempts is the number of servers that one request may be sent to.
+	// MaxAttempts is the maximum number of servers that one request may be sent to.
 	MaxAttempts int
-	// Timeout is the longest time a caller is kept waiting; zero means no limit of the route's own.
+	// Timeout is the maximum time a caller waits for the answer; 0 means that the route sets no limit.
 	Timeout time.Duration
-	// LatencyTarget is the time to the complete answer, or to the first event of a stream.
+	// LatencyTarget is the target for the time to the complete answer, or to the first event of a stream.
 	LatencyTarget time.Duration
-	// PauseTarget is the longest time between two events of a stream.
+	// PauseTarget is the target for the time between two events of a stream.
 	PauseTarget time.Duration
-	// Priority is the rank of the route; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
 }
 
-// Scaling describes what the operator allows for the number of a service's servers.
+// Scaling configures the automatic scaling of a service.
 type Scaling struct {
-	// Min and Max bound the servers of one failure domain, reclaimable ones included.
+	// Min and Max bound the number of servers in each failure domain, reclaimable ones included.
 	Min, Max int
-	// Boot is the time from an order to a server that serves.
+	// Boot is the time from the order of a server until it serves.
 	Boot time.Duration
-	// ReclaimablePrice is the price of a reclaimable server as a share of another one's.
+	// ReclaimablePrice is the price of a reclaimable server as a fraction of that of another one.
 	ReclaimablePrice float64
 	// DomainPrices is the price of a server-second by failure domain.
 	DomainPrices map[string]float64
@@ -65,7 +65,8 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests in a batch; CacheTokens the memory shared by running requests and cached prompts.
+	// Slots is the maximum number of requests in a batch; CacheTokens is the size of the KV cache in tokens, shared by
+	// running requests and cached prompts.
 	Slots       int
 	CacheTokens int
 }
@@ -73,7 +74,7 @@
 // Service is a group of backend servers.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections one server accepts from all nodes.
+	// MaxConnections is the maximum number of connections that one server accepts from all nodes together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -81,35 +82,35 @@
 	Scaling *Scaling
 }
 
-// Workspace is one customer with its limit over all nodes.
+// Workspace is one customer with its API keys and its limit, which applies to all nodes together.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's when HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Rate is the limit in units per second and Burst what may be taken at once; a Rate of 0 means no limit.
+	// Rate is the limit in units per second and Burst the number of units available at once; a Rate of 0 means no limit.
 	Rate, Burst float64
-	// CountsTokens is set when the unit is a token; otherwise it is a request.
+	// CountsTokens is set if the unit is a token; otherwise it is a request.
 	CountsTokens bool
-	// DefaultTokens is the cost of a request that does not say how many tokens it takes.
+	// DefaultTokens is the cost of a request that does not state its number of tokens.
 	DefaultTokens float64
 }
 
-// Limits bounds what a caller may send.
+// Limits bounds the requests and connections of callers.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	HeaderTimeout          time.Duration
 	IdleTimeout            time.Duration
 }
 
-// ServerState is what a server says about itself.
+// ServerState is the state that a server reports about itself.
 type ServerState uint8
 
 const (
-	// Ready servers take requests.
+	// Ready servers accept requests.
 	Ready ServerState = iota
-	// Draining servers finish what they have and take nothing new.
+	// Draining servers finish their running requests and accept no new ones.
 	Draining
 )
 
@@ -118,39 +119,39 @@
 	ID, Address, Service, Domain string
 	Slots                        int
 	State                        ServerState
-	// Born is the start of this lifetime in Unix milliseconds; 0 when it is unknown.
+	// Born is the start time of the server's current process in Unix milliseconds; 0 if it is unknown.
 	Born int64
-	// Sequence counts what the server has written about itself in this lifetime; a lower one is older.
+	// Sequence numbers the records that the server has written about itself since Born; a lower one is older.
 	Sequence int64
-	// Reclaimable servers may be taken away with little notice.
+	// Reclaimable servers may be taken away by the platform at short notice.
 	Reclaimable bool
 }
 
-// PromptPart is one part of a prompt; requests with the same leading parts share cached work.
+// PromptPart is one part of a prompt. Requests with the same leading parts can share their cached prefill.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Envelope is what a caller's headers say about a request.
+// Envelope is the information about a request in its caller's headers.
 type Envelope struct {
-	// AttemptID names this attempt of the caller; empty when it sent none.
+	// AttemptID identifies this attempt of the caller; empty if it sent none.
 	AttemptID string
-	// Budget is how long the caller will wait; 0 when it did not say.
+	// Budget is how long the caller will wait; 0 if it is not stated.
 	Budget time.Duration
 	Key    string
 	Model  string
-	// PromptTokens and OutputTokens are the sizes the caller states; HasTokens is false when it states none.
+	// PromptTokens and OutputTokens are the sizes stated by the caller; HasTokens is false if it states none.
 	PromptTokens, OutputTokens int
 	HasTokens                  bool
 	Prompt                     []PromptPart
-	// ExpectedOutput is the caller's estimate of the output in tokens; 0 when unknown.
+	// ExpectedOutput is the caller's estimate of the output in tokens; 0 if unknown.
 	ExpectedOutput int
-	// ResumeAfter is the id of the last event the caller has.
+	// ResumeAfter is the id of the last event that the caller has received.
 	ResumeAfter string
 }
 
-// Cost is what the request takes from its workspace's limit.
+// Cost returns the number of units that the request takes from its workspace's limit.
 func (e *Envelope) Cost(w *Workspace) float64 {
 	switch {
 	case !w.CountsTokens:
@@ -162,29 +163,29 @@
 	}
 }
 
-// Dispatch is what this system tells a backend server about a request.
+// Dispatch is the information about a request that is sent to a backend server in its headers.
 type Dispatch struct {
-	// Remaining is the time the server has.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	// Server is the id of the server that must run the request.
 	Server    string
 	Workspace string
-	// Priority is the engine's rank of the request, 0 to 9; negative leaves it unset.
+	// Priority is the priority of the request on an engine, 0 to 9; a negative value leaves it unset.
 	Priority int
-	// ResumeAfter is the id of the last event that was delivered.
+	// ResumeAfter is the id of the last event that was delivered to the caller.
 	ResumeAfter string
 }
 
-// Reply is what a backend server's headers say about its answer.
+// Reply is the information about an answer in the backend server's headers.
 type Reply struct {
-	// NotRun is the server's statement that it did not start the request.
+	// NotRun is set if the server states that it did not start the request.
 	NotRun bool
-	// OtherServer is set when another server has taken over the address.
+	// OtherServer is set if another server now has the address.
 	OtherServer bool
-	// Signed is set when the answer carries the server's signature.
+	// Signed is set if the answer carries the server's signature.
 	Signed    bool
 	AttemptID string
-	// Running, Waiting and Slots are the server's load; HasLoad is false when it told none.
+	// Running, Waiting and Slots are the server's load; HasLoad is false if it reports none.
 	Running, Waiting, Slots int
 	HasLoad                 bool
 }
