--- a/pkg/backend/prefix.go
+++ b/pkg/backend/prefix.go
@@ -9,8 +9,9 @@
 // PrefixBlockBytes is the size of one block of prompt text in the prefix hash chain.
 const PrefixBlockBytes = 256
 
-// PrefixBlocks appends the chained hashes of the whole blocks of a prompt to dst. The hash of block i covers blocks 0
-// to i, so equal hashes mean equal prefixes. Model and adapter seed the chain, since they do not share KV cache.
+// PrefixBlocks appends the chained hashes of the complete blocks of a prompt to dst. The hash of block i covers blocks 0
+// to i, so equal hashes mean equal prefixes. Model and adapter seed the chain, since KV caches are not shared between
+// different models or adapters.
 func PrefixBlocks(dst []uint64, model, adapter, prompt string) []uint64 {
 	var buf [8]byte
 	previous := xxhash.Sum64String(model + "\x00" + adapter)
