--- a/pkg/placement/engine.go
+++ b/pkg/placement/engine.go
@@ -109,12 +109,12 @@
 }
 
 // observeFirstEvent updates the estimated slowness of an engine with a measured time to first event.
-func (s *server) observeFirstEvent(took, expected time.Duration) {
+func (s *server) observeFirstEvent(elapsed, expected time.Duration) {
 	if s.slowness == 0 {
 		s.slowness = 1
 	}
 	// The expected time already includes the current slowness, so the ratio is a correction of it.
-	ratio := min(max(float64(took)/float64(max(expected, baseFirstEvent)), 0.5), 3)
+	ratio := min(max(float64(elapsed)/float64(max(expected, baseFirstEvent)), 0.5), 3)
 	s.slowness = min(max(s.slowness*(1+slownessSampleWeight*(ratio-1)), 1), maxSlowness)
 }
 
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -88,13 +88,13 @@
 	next := make(map[string]*server, len(servers))
 	groups := make(map[string][]*server)
 	for _, s := range servers {
-		k := b.servers[s.ID]
-		if k == nil || k.Born != s.Born || k.Address != s.Address {
-			k = &server{cached: newPromptCache()}
+		state := b.servers[s.ID]
+		if state == nil || state.Born != s.Born || state.Address != s.Address {
+			state = &server{cached: newPromptCache()}
 		}
-		k.Server = s
-		next[s.ID] = k
-		groups[s.Service] = append(groups[s.Service], k)
+		state.Server = s
+		next[s.ID] = state
+		groups[s.Service] = append(groups[s.Service], state)
 	}
 	b.servers, b.groups = next, groups
 }
@@ -164,31 +164,31 @@
 	// Expected is the estimated time to the first event of an engine or to the answer of a plain server.
 	Expected time.Duration
 
-	board   *Board
-	server  *server
-	prefill float64
-	prompt  []serving.PromptPart
-	began   time.Time
-	started bool
-	ended   bool
+	board         *Board
+	server        *server
+	prefill       float64
+	prompt        []serving.PromptPart
+	startedAt     time.Time
+	hadFirstEvent bool
+	ended         bool
 }
 
 func (b *Board) begin(s *server, now time.Time, prefill float64, expected time.Duration, prompt []serving.PromptPart) *Ticket {
 	s.own.Running++
 	s.own.Prefill += prefill
 	s.sentAt = now
-	return &Ticket{Server: s.Server, Expected: expected, board: b, server: s, prefill: prefill, prompt: prompt, began: now}
+	return &Ticket{Server: s.Server, Expected: expected, board: b, server: s, prefill: prefill, prompt: prompt, startedAt: now}
 }
 
 // FirstEvent records that the server has sent its first event and has thus processed the prompt.
 func (t *Ticket) FirstEvent(now time.Time) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
-	if t.started || t.ended {
+	if t.hadFirstEvent || t.ended {
 		return
 	}
-	t.started = true
-	t.server.observeFirstEvent(now.Sub(t.began), t.Expected)
+	t.hadFirstEvent = true
+	t.server.observeFirstEvent(now.Sub(t.startedAt), t.Expected)
 	t.server.own.Prefill = max(0, t.server.own.Prefill-t.prefill)
 	t.server.cached.add(t.prompt, now)
 }
@@ -217,18 +217,18 @@
 	t.ended = true
 	s := t.server
 	s.own.Running = max(0, s.own.Running-1)
-	if !t.started {
+	if !t.hadFirstEvent {
 		s.own.Prefill = max(0, s.own.Prefill-t.prefill)
 	}
 	s.decay(now)
 	switch outcome {
 	case Served:
 		s.own.Failures *= 0.5
-		took := now.Sub(t.began)
+		elapsed := now.Sub(t.startedAt)
 		if s.latency == 0 {
-			s.latency = took
+			s.latency = elapsed
 		} else {
-			s.latency += time.Duration(latencySampleWeight * float64(took-s.latency))
+			s.latency += time.Duration(latencySampleWeight * float64(elapsed-s.latency))
 		}
 	case Refused:
 		s.fullAt = now
--- a/pkg/placement/replay_test.go
+++ b/pkg/placement/replay_test.go
@@ -171,12 +171,12 @@
 	start := r.now
 	done := r.engines[id].prefill(r.now, prompt).Add(baseFirstEvent)
 	r.after(done.Sub(r.now), func() {
-		took := r.now.Sub(start)
+		elapsed := r.now.Sub(start)
 		if size <= r.maxTimed {
-			r.firstEvents = append(r.firstEvents, took)
+			r.firstEvents = append(r.firstEvents, elapsed)
 		}
 		r.served++
-		if took > target {
+		if elapsed > target {
 			r.late++
 		}
 		ticket.FirstEvent(r.now)
@@ -277,11 +277,11 @@
 			return []serving.PromptPart{{ID: fmt.Sprint(r.rng.Uint64()), Tokens: 500 + r.rng.IntN(10000)}}
 		}
 	}
-	run := func(unseen float64) time.Duration {
+	run := func(unreported float64) time.Duration {
 		r := newSimulation(nodes, engines)
 		r.exchangeInterval, r.maxTimed = 500*time.Millisecond, 1<<20
 		for _, b := range r.boards {
-			b.SetUnseen("s", unseen)
+			b.SetUnseen("s", unreported)
 		}
 		r.offer(10*time.Second, load, prompts(r))
 		return r.p95()
--- a/pkg/placement/unseen.go
+++ b/pkg/placement/unseen.go
@@ -31,8 +31,8 @@
 
 // inSample reports whether an engine is compared for a request, given the number of those already compared. Engines that
 // are expected to have parts of the prompt cached always are.
-func (b *Board) inSample(service string, holdsPrompt bool, others int) bool {
-	return holdsPrompt || others < minSample || rand.Float64() < 1/(1+b.unreported[service])
+func (b *Board) inSample(service string, holdsPrompt bool, compared int) bool {
+	return holdsPrompt || compared < minSample || rand.Float64() < 1/(1+b.unreported[service])
 }
 
 // engineJitter returns the random part of an engine's score.
