--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -117,7 +117,7 @@
 		}
 		for service, rate := range requests {
 			servers := len(n.board.Servers(service))
-			n.board.SetUnseen(service, rate*n.peers.beatInterval().Seconds()/float64(max(servers, 1)))
+			n.board.SetUnreported(service, rate*n.peers.beatInterval().Seconds()/float64(max(servers, 1)))
 		}
 	}
 }
--- a/pkg/placement/replay_test.go
+++ b/pkg/placement/replay_test.go
@@ -281,7 +281,7 @@
 		r := newSimulation(nodes, engines)
 		r.exchangeInterval, r.maxTimed = 500*time.Millisecond, 1<<20
 		for _, b := range r.boards {
-			b.SetUnseen("s", unreported)
+			b.SetUnreported("s", unreported)
 		}
 		r.offer(10*time.Second, load, prompts(r))
 		return r.p95()
--- a/pkg/placement/unseen.go
+++ b/pkg/placement/unseen.go
@@ -16,14 +16,14 @@
 	minSample = 3
 )
 
-// SetUnseen sets the average number of requests that the other nodes send to one server of a service before they report
+// SetUnreported sets the average number of requests that the other nodes send to one server of a service before they report
 // them to this node.
 //
 // Load pattern: many nodes choose by the same loads, which are as old as the interval between their messages. If they
 // all chose the server with the lowest load, its queue would fill up while others are idle. A node therefore compares
 // only a random subset of the servers, which is smaller the more requests are unreported, and adds a random time to each
 // score.
-func (b *Board) SetUnseen(service string, requests float64) {
+func (b *Board) SetUnreported(service string, requests float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.unreported[service] = max(0, requests-unreportedTolerance)
