--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -89,7 +89,7 @@
 
 // loadsOf translates the loads of a beat to the ids of servers; unknown servers are left out.
 func (n *Node) loadsOf(beat *pb.PeerBeat) map[string]placement.Load {
-	ids := n.board.Hashes(nameHash)
+	ids := n.board.IDsByHash(nameHash)
 	loads := make(map[string]placement.Load, len(beat.Loads))
 	for _, l := range beat.Loads {
 		if id, ok := ids[l.Server]; ok {
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -277,8 +277,8 @@
 	return false
 }
 
-// Hashes returns the ids of all servers by their hash, for messages that refer to servers by a short hash.
-func (b *Board) Hashes(hash func(id string) uint32) map[uint32]string {
+// IDsByHash returns the ids of all servers by their hash, for messages that refer to servers by a short hash.
+func (b *Board) IDsByHash(hash func(id string) uint32) map[uint32]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[uint32]string, len(b.servers))
