--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -65,7 +65,7 @@
 	h.noteFleet(service.Name, in, smoother, first, now)
 	in.Initial = h.initial[service.Name]
 	// Slots that are taken count as work: short streams can fill all slots of engines that are otherwise idle.
-	taken, _ := h.n.board.Pressure(service.Name, now)
+	taken, _ := h.n.board.Utilization(service.Name, now)
 	load := max(h.n.engineLoad(service.Name, now), taken*float64(len(h.n.board.Servers(service.Name))))
 	if load > 0 && h.loadSince.IsZero() {
 		h.loadSince = now
--- a/pkg/placement/plain.go
+++ b/pkg/placement/plain.go
@@ -71,9 +71,9 @@
 	return penalty
 }
 
-// Pressure returns the fraction of the slots of a service's ready servers that is in use, and the number of these
+// Utilization returns the fraction of the slots of a service's ready servers that is in use, and the number of these
 // servers. The fraction may exceed 1; it is 0 when there are no slots.
-func (b *Board) Pressure(service string, now time.Time) (taken float64, servers int) {
+func (b *Board) Utilization(service string, now time.Time) (taken float64, servers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	running, slots := 0.0, 0
