--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -497,7 +497,7 @@
 		ids = append(ids, instance.ID)
 		groups[instance.BackendGroup] = append(groups[instance.BackendGroup], instance.ID)
 	}
-	n.serverLimits.Keep(ids)
+	n.serverLimits.Retain(ids)
 	n.outliers.SetServers(groups)
 }
 
--- a/pkg/limit/servers.go
+++ b/pkg/limit/servers.go
@@ -55,8 +55,8 @@
 	l.mu.Unlock()
 }
 
-// Keep drops the state of all servers that are not listed.
-func (l *ServerLimits) Keep(servers []string) {
+// Retain drops the state of all servers that are not listed.
+func (l *ServerLimits) Retain(servers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	kept := make(map[string]*serverLimit, len(servers))
