--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -203,7 +203,7 @@
 	if req.sends >= req.route.MaxAttempts || len(req.tried) >= maxTries {
 		return code.New(code.BackendFailed, "all attempts of the route are used").After(serverRetry)
 	}
-	if !t.repeatTaken && !n.retryWindow(req.service.Name).Repeat(time.Now()) {
+	if !t.repeatTaken && !n.retryWindow(req.service.Name).Withdraw(time.Now()) {
 		return code.New(code.RetryBudgetExhausted, "no repeat is left in the budget").After(serverRetry)
 	}
 	n.metrics.Retry(t.reason)
--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -94,7 +94,7 @@
 	}
 	return time.AfterFunc(max(stallFirst, 2*ticket.Expected), func() {
 		// Without a repeat left the stream would only be broken off; it waits for its server instead.
-		if s.n.retryWindow(s.req.service.Name).Repeat(time.Now()) {
+		if s.n.retryWindow(s.req.service.Name).Withdraw(time.Now()) {
 			cancel(errStalled)
 		}
 	})
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -44,8 +44,8 @@
 	w.requests[w.current%int64(len(w.requests))]++
 }
 
-// Repeat reports whether a retry may be sent and, if so, counts it.
-func (w *RetryWindow) Repeat(now time.Time) bool {
+// Withdraw reports whether a retry may be sent and, if so, counts it.
+func (w *RetryWindow) Withdraw(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -25,7 +25,7 @@
 			w.Request(now)
 			requests = append(requests, now)
 		}
-		for i >= 2000 && w.Repeat(now) {
+		for i >= 2000 && w.Withdraw(now) {
 			retries = append(retries, now)
 		}
 	}
