--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -54,7 +54,7 @@
 	}
 	name := life(beat.Node, beat.Started)
 	n.board.SetPeer(beat.Node, n.loadsOf(beat), now)
-	n.quota.Heard(name, n.usesOf(beat), now)
+	n.quota.ApplyReport(name, n.usesOf(beat), now)
 	windows := make([]usage.Window, 0, len(beat.Usage))
 	for _, w := range beat.Usage {
 		windows = append(windows, usage.Window{Number: w.Number, Counts: w.Counts})
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -173,8 +173,8 @@
 	return uses
 }
 
-// Heard applies the report of another node. A node must have another name after a restart.
-func (b *Buckets) Heard(node string, uses []Use, now time.Time) {
+// ApplyReport applies the report of another node. A node must have another name after a restart.
+func (b *Buckets) ApplyReport(node string, uses []Use, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[node]
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -80,7 +80,7 @@
 		uses := from.Export(r.now)
 		for j, to := range r.nodes {
 			if i != j && !r.disconnected[i] && !r.disconnected[j] {
-				to.Heard(r.names[i], uses, r.now)
+				to.ApplyReport(r.names[i], uses, r.now)
 			}
 		}
 	}
