--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -65,7 +65,7 @@
 }
 
 func (n *Node) peerLeft(node string, started int64) {
-	n.quota.Left(life(node, started))
+	n.quota.RemovePeer(life(node, started))
 	n.board.DropPeer(node)
 }
 
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -205,8 +205,8 @@
 	p.reportedAt = now
 }
 
-// Left removes a node that has announced its stop.
-func (b *Buckets) Left(node string) {
+// RemovePeer removes a node that has announced its stop.
+func (b *Buckets) RemovePeer(node string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.peers, node)
