--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -68,7 +68,7 @@
 	}
 	refusal := n.tries(ctx, req)
 	if refusal != nil && refusal.Ran == code.RanNo && req.workspace != nil {
-		n.quota.Return(req.workspace.Name, req.cost)
+		n.quota.Refund(req.workspace.Name, req.cost)
 	}
 	return refusal
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -149,8 +149,8 @@
 	return sum
 }
 
-// Return refunds the cost of a request that did not run.
-func (b *Buckets) Return(workspace string, cost float64) {
+// Refund refunds the cost of a request that did not run.
+func (b *Buckets) Refund(workspace string, cost float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k := b.buckets[workspace]; k != nil {
