--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -59,7 +59,7 @@
 	for _, w := range beat.Usage {
 		windows = append(windows, usage.Window{Number: w.Number, Counts: w.Counts})
 	}
-	n.usage.Heard(name, windows)
+	n.usage.Merge(name, windows)
 	n.crashes.heard(beat.Crashes, now)
 	n.fetcher.heard(beat, now)
 }
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -48,8 +48,8 @@
 	c.window(c.self, c.NumberAt(at))[workspace]++
 }
 
-// Heard merges the counts of another node.
-func (c *Counter) Heard(node string, windows []Window) {
+// Merge merges the counts of another node.
+func (c *Counter) Merge(node string, windows []Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range windows {
