--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -264,7 +264,7 @@
 		return
 	}
 	req.counted = true
-	n.usage.Began(req.workspace.Name, time.Now())
+	n.usage.CountStarted(req.workspace.Name, time.Now())
 }
 
 // classify tells what a failed send means. A server that refuses connections has crashed.
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -41,8 +41,8 @@
 // EndOf returns the end of a window.
 func (c *Counter) EndOf(number int64) time.Time { return time.Unix(0, (number+1)*int64(c.length)) }
 
-// Began counts a request that started to run on this node.
-func (c *Counter) Began(workspace string, at time.Time) {
+// CountStarted counts a request that started to run on this node.
+func (c *Counter) CountStarted(workspace string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.window(c.self, c.NumberAt(at))[workspace]++
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -11,7 +11,7 @@
 func TestTotalsAreCorrectAfterRepeatsAndRestarts(t *testing.T) {
 	c := New("a@1", time.Second)
 	at := time.Unix(100, 5)
-	c.Began("w", at)
+	c.CountStarted("w", at)
 	number := c.NumberAt(at)
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 5, "x": 1}}})
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 3}}})
@@ -25,7 +25,7 @@
 func TestOldWindowsAreDropped(t *testing.T) {
 	c := New("a@1", time.Second)
 	for i := range int64(100) {
-		c.Began("w", time.Unix(i, 0))
+		c.CountStarted("w", time.Unix(i, 0))
 	}
 	assert.Equal(t, len(c.Own(0)), maxWindows)
 }
