--- a/internal/edge/door.go
+++ b/internal/edge/door.go
@@ -97,7 +97,7 @@
 			return code.New(code.TokenRefused, "the key is not known")
 		}
 	}
-	req.rank = serving.Rank(req.route, req.workspace)
+	req.rank = serving.EffectivePriority(req.route, req.workspace)
 	req.deadline = req.arrived.Add(budget(req))
 	if since := n.sinceStop(); since > lateTake || (since > leaveNotice && req.route.Stream) {
 		return code.New(code.NodeLeaving, "this node is stopping; another one takes the request").After(leavingRetry)
--- a/pkg/serving/config_test.go
+++ b/pkg/serving/config_test.go
@@ -23,7 +23,7 @@
 // Guards against treating a workspace's priority of 0 as unset.
 func TestWorkspacePriorityOverridesThatOfTheRoute(t *testing.T) {
 	r := &Route{Priority: 2}
-	assert.Equal(t, Rank(r, nil), 2)
-	assert.Equal(t, Rank(r, &Workspace{}), 2)
-	assert.Equal(t, Rank(r, &Workspace{HasPriority: true}), 0)
+	assert.Equal(t, EffectivePriority(r, nil), 2)
+	assert.Equal(t, EffectivePriority(r, &Workspace{}), 2)
+	assert.Equal(t, EffectivePriority(r, &Workspace{HasPriority: true}), 0)
 }
