--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -50,7 +50,7 @@
 	servers map[string]*server
 	groups  map[string][]*server
 	peers   map[string]*peerLoads
-	// unreported is the number of unreported requests per server beyond unreportedTolerance, by service; see SetUnseen.
+	// unreported is the number of unreported requests per server beyond unreportedTolerance, by service; see SetUnreported.
 	unreported map[string]float64
 }
 
--- a/pkg/serving/config.go
+++ b/pkg/serving/config.go
@@ -59,8 +59,8 @@
 // WorkspaceOf returns the workspace with the given API key, or nil.
 func (c *Config) WorkspaceOf(key string) *Workspace { return c.keys[key] }
 
-// EffectivePriority returns the priority of a request: that of the workspace if it has one, otherwise that of the route. The workspace
-// may be nil.
+// EffectivePriority returns the priority of a request: that of the workspace if it has one, otherwise that of the route.
+// The workspace may be nil.
 func EffectivePriority(r *Route, w *Workspace) int {
 	if w != nil && w.HasPriority {
 		return w.Priority
