--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -66,7 +66,7 @@
 
 func (n *Node) peerLeft(node string, started int64) {
 	n.quota.RemovePeer(life(node, started))
-	n.board.DropPeer(node)
+	n.board.RemovePeer(node)
 }
 
 // usesOf translates the uses of a beat to the names of workspaces; unknown workspaces are left out.
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -117,8 +117,8 @@
 	b.peers[node] = &peerLoads{at: now, loads: loads}
 }
 
-// DropPeer removes the loads of a node that has left.
-func (b *Board) DropPeer(node string) {
+// RemovePeer removes the loads of a node that has left.
+func (b *Board) RemovePeer(node string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.peers, node)
