--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -27,7 +27,7 @@
 	b := n.news(now)
 	b.NewsOnly = false
 	b.Crashes, b.Demand = n.crashes.export(now), n.demand.export(now)
-	for id, load := range n.board.Own(now) {
+	for id, load := range n.board.OwnLoads(now) {
 		b.Loads = append(b.Loads, &pb.ServerUse{Server: nameHash(id), Running: uint32(load.Running),
 			PrefillTokens: uint32(load.Prefill), Failures: uint32(10 * load.Failures)})
 	}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -124,9 +124,9 @@
 	delete(b.peers, node)
 }
 
-// Own returns this node's loads by server id, to be reported to its peers. Servers without requests in flight or recent
+// OwnLoads returns this node's loads by server id, to be reported to its peers. Servers without requests in flight or recent
 // failures are left out.
-func (b *Board) Own(now time.Time) map[string]Load {
+func (b *Board) OwnLoads(now time.Time) map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]Load{}
--- a/pkg/placement/replay_test.go
+++ b/pkg/placement/replay_test.go
@@ -136,7 +136,7 @@
 		for i, from := range r.boards {
 			for j, to := range r.boards {
 				if i != j {
-					to.SetPeer(fmt.Sprint(i), from.Own(r.now), r.now)
+					to.SetPeer(fmt.Sprint(i), from.OwnLoads(r.now), r.now)
 				}
 			}
 		}
