--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Own returns copies of this node's windows with at least the given number, in no particular order.
-func (c *Counter) Own(from int64) []Window {
+// OwnWindows returns copies of this node's windows with at least the given number, in no particular order.
+func (c *Counter) OwnWindows(from int64) []Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Window
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -27,5 +27,5 @@
 	for i := range int64(100) {
 		c.CountStarted("w", time.Unix(i, 0))
 	}
-	assert.Equal(t, len(c.Own(0)), maxWindows)
+	assert.Equal(t, len(c.OwnWindows(0)), maxWindows)
 }
