--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -40,7 +40,7 @@
 // usageBeat is what this node tells those that may report usage, besides its beat.
 func (n *Node) usageBeat(now time.Time) []*pb.UsageWindow {
 	var out []*pb.UsageWindow
-	for _, w := range n.usage.OwnWindows(n.usage.NumberAt(now) - usageTold) {
+	for _, w := range n.usage.OwnWindows(n.usage.WindowNumber(now) - usageTold) {
 		out = append(out, &pb.UsageWindow{Number: w.Number, Counts: w.Counts})
 	}
 	return out
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -189,7 +189,7 @@
 }
 
 func (h *dutyHolder) cleanUsage(ctx context.Context, now time.Time) {
-	oldest := time.Unix(0, (h.n.usage.NumberAt(now)-usageKept)*int64(h.n.settings.UsageWindow)).UTC().Format("20060102T150405.000")
+	oldest := time.Unix(0, (h.n.usage.WindowNumber(now)-usageKept)*int64(h.n.settings.UsageWindow)).UTC().Format("20060102T150405.000")
 	rows, err := h.n.store.List(ctx, usageTable, "", "", 50)
 	if err != nil {
 		h.n.log.WithError(err).Info("old usage rows not listed")
--- a/internal/edge/usagereport.go
+++ b/internal/edge/usagereport.go
@@ -16,7 +16,7 @@
 // reportUsage reports the windows that are final and not reported in this term.
 func (h *dutyHolder) reportUsage(ctx context.Context, now time.Time) {
 	u := h.n.usage
-	last := u.NumberAt(now.Add(-usageSettle)) - 1
+	last := u.WindowNumber(now.Add(-usageSettle)) - 1
 	for number := last - int64(h.n.settings.UsageDelay/h.n.settings.UsageWindow) + 1; number <= last; number++ {
 		if h.reported[number] {
 			continue
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -35,8 +35,8 @@
 	return &Counter{length: length, self: self, nodes: map[string]map[int64]map[string]int64{}}
 }
 
-// NumberAt returns the number of the window that contains a time.
-func (c *Counter) NumberAt(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
+// WindowNumber returns the number of the window that contains a time.
+func (c *Counter) WindowNumber(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
 
 // EndOf returns the end of a window.
 func (c *Counter) EndOf(number int64) time.Time { return time.Unix(0, (number+1)*int64(c.length)) }
@@ -45,7 +45,7 @@
 func (c *Counter) CountStarted(workspace string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.window(c.self, c.NumberAt(at))[workspace]++
+	c.window(c.self, c.WindowNumber(at))[workspace]++
 }
 
 // Merge merges the counts of another node.
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -12,7 +12,7 @@
 	c := New("a@1", time.Second)
 	at := time.Unix(100, 5)
 	c.CountStarted("w", at)
-	number := c.NumberAt(at)
+	number := c.WindowNumber(at)
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 5, "x": 1}}})
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 3}}})
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 5}}})
