--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -38,8 +38,8 @@
 // WindowNumber returns the number of the window that contains a time.
 func (c *Counter) WindowNumber(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
 
-// EndOf returns the end of a window.
-func (c *Counter) EndOf(number int64) time.Time { return time.Unix(0, (number+1)*int64(c.length)) }
+// WindowEnd returns the end of a window.
+func (c *Counter) WindowEnd(number int64) time.Time { return time.Unix(0, (number+1)*int64(c.length)) }
 
 // CountStarted counts a request that started to run on this node.
 func (c *Counter) CountStarted(workspace string, at time.Time) {
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -18,7 +18,7 @@
 	c.Merge("b@1", []Window{{Number: number, Counts: map[string]int64{"w": 5}}})
 	c.Merge("b@2", []Window{{Number: number, Counts: map[string]int64{"w": 2}}})
 	assert.DeepEqual(t, c.Total(number), map[string]int64{"w": 8, "x": 1})
-	assert.Equal(t, c.EndOf(number), time.Unix(101, 0))
+	assert.Equal(t, c.WindowEnd(number), time.Unix(101, 0))
 }
 
 // Guards against memory use that grows with uptime.
