--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -27,7 +27,7 @@
 	b := n.news(now)
 	b.NewsOnly = false
 	b.Crashes, b.Demand = n.crashes.export(now), n.demand.export(now)
-	for id, load := range n.board.Own(now) {
+	for id, load := range n.board.OwnLoads(now) {
 		b.Loads = append(b.Loads, &pb.ServerUse{Server: nameHash(id), Running: uint32(load.Running),
 			PrefillTokens: uint32(load.Prefill), Failures: uint32(10 * load.Failures)})
 	}
@@ -40,7 +40,7 @@
 // usageBeat is what this node tells those that may report usage, besides its beat.
 func (n *Node) usageBeat(now time.Time) []*pb.UsageWindow {
 	var out []*pb.UsageWindow
-	for _, w := range n.usage.Own(n.usage.NumberAt(now) - usageTold) {
+	for _, w := range n.usage.OwnWindows(n.usage.WindowNumber(now) - usageTold) {
 		out = append(out, &pb.UsageWindow{Number: w.Number, Counts: w.Counts})
 	}
 	return out
@@ -54,19 +54,19 @@
 	}
 	name := life(beat.Node, beat.Started)
 	n.board.SetPeer(beat.Node, n.loadsOf(beat), now)
-	n.quota.Heard(name, n.usesOf(beat), now)
+	n.quota.ApplyReport(name, n.usesOf(beat), now)
 	windows := make([]usage.Window, 0, len(beat.Usage))
 	for _, w := range beat.Usage {
 		windows = append(windows, usage.Window{Number: w.Number, Counts: w.Counts})
 	}
-	n.usage.Heard(name, windows)
+	n.usage.Merge(name, windows)
 	n.crashes.heard(beat.Crashes, now)
 	n.fetcher.heard(beat, now)
 }
 
 func (n *Node) peerLeft(node string, started int64) {
-	n.quota.Left(life(node, started))
-	n.board.DropPeer(node)
+	n.quota.RemovePeer(life(node, started))
+	n.board.RemovePeer(node)
 }
 
 // usesOf translates the uses of a beat to the names of workspaces; unknown workspaces are left out.
@@ -89,7 +89,7 @@
 
 // loadsOf translates the loads of a beat to the ids of servers; unknown servers are left out.
 func (n *Node) loadsOf(beat *pb.PeerBeat) map[string]placement.Load {
-	ids := n.board.Hashes(nameHash)
+	ids := n.board.IDsByHash(nameHash)
 	loads := make(map[string]placement.Load, len(beat.Loads))
 	for _, l := range beat.Loads {
 		if id, ok := ids[l.Server]; ok {
@@ -117,7 +117,7 @@
 		}
 		for service, rate := range requests {
 			servers := len(n.board.Servers(service))
-			n.board.SetUnseen(service, rate*n.peers.beatInterval().Seconds()/float64(max(servers, 1)))
+			n.board.SetUnreported(service, rate*n.peers.beatInterval().Seconds()/float64(max(servers, 1)))
 		}
 	}
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -68,7 +68,7 @@
 	}
 	refusal := n.tries(ctx, req)
 	if refusal != nil && refusal.Ran == code.RanNo && req.workspace != nil {
-		n.quota.Return(req.workspace.Name, req.cost)
+		n.quota.Refund(req.workspace.Name, req.cost)
 	}
 	return refusal
 }
@@ -203,7 +203,7 @@
 	if req.sends >= req.route.MaxAttempts || len(req.tried) >= maxTries {
 		return code.New(code.BackendFailed, "all attempts of the route are used").WithRetryAfter(serverRetry)
 	}
-	if !t.repeatTaken && !n.retryWindow(req.service.Name).Repeat(time.Now()) {
+	if !t.repeatTaken && !n.retryWindow(req.service.Name).Withdraw(time.Now()) {
 		return code.New(code.RetryBudgetExhausted, "no repeat is left in the budget").WithRetryAfter(serverRetry)
 	}
 	n.metrics.Retry(t.reason)
@@ -264,7 +264,7 @@
 		return
 	}
 	req.counted = true
-	n.usage.Began(req.workspace.Name, time.Now())
+	n.usage.CountStarted(req.workspace.Name, time.Now())
 }
 
 // classify tells what a failed send means. A server that refuses connections has crashed.
