--- a/internal/fleetholder/act.go
+++ b/internal/fleetholder/act.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// parallelStarts bounds the starts that wait for the cloud at a time.
-	parallelStarts = 8
-	// spreadTime is how long a drain is announced before the server may stop; a leave is known everywhere in 2 s.
-	spreadTime = 5 * time.Second
-	// idleTime is how long a server must have run nothing before it stops, as its reports lag.
-	idleTime = 3 * time.Second
+	// maxParallelStarts bounds the concurrent start requests to the cloud API.
+	maxParallelStarts = 8
+	// announceTime is how long a drain is announced before the server may be stopped. All nodes know of a leaving
+	// server within 2 s.
+	announceTime = 5 * time.Second
+	// minIdleTime is how long a draining server must have been idle before it is stopped; load reports lag.
+	minIdleTime = 3 * time.Second
 )
 
-// startAll asks the cloud for the starts in the row that have no answer yet. Those of a predecessor are repeated with
-// the same token, so they give the same instance.
+// startAll requests the pending starts in the row from the cloud. Starts decided by a previous holder are repeated with
+// the same token, so they yield the same instance.
 func (t *term) startAll(ctx context.Context) error {
-	var open []*pb.FleetStart
+	var pending []*pb.FleetStart
 	for _, s := range t.row.Starts {
 		if s.Instance == "" {
-			open = append(open, s)
+			pending = append(pending, s)
 		}
 	}
-	results := make([]error, len(open))
-	slots := make(chan struct{}, parallelStarts)
+	results := make([]error, len(pending))
+	slots := make(chan struct{}, maxParallelStarts)
 	var wg sync.WaitGroup
-	for i, s := range open {
+	for i, s := range pending {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
@@ -42,24 +43,24 @@
 		})
 	}
 	wg.Wait()
-	var failed error
-	for i, s := range open {
+	var lastErr error
+	for i, s := range pending {
 		switch err := results[i]; {
 		case err == nil:
 			t.f.Metrics.Count("fleet_starts", "place", s.InstanceClass+"/"+s.FailureDomain, 1)
-			t.accepted(s)
+			t.clearRefusals(s)
 		case errors.Is(err, platform.ErrStartRefused):
 			t.row.Starts = slices.DeleteFunc(t.row.Starts, func(other *pb.FleetStart) bool { return other == s })
-			t.refused(s)
+			t.recordRefusal(s)
 		default:
-			failed = err // the outcome may be unknown: the same start is repeated
+			lastErr = err // the outcome may be unknown, so the next step repeats the same start
 		}
 	}
-	return failed
+	return lastErr
 }
 
 func (t *term) start(ctx context.Context, s *pb.FleetStart) error {
-	return t.guarded(ctx, func(ctx context.Context, _ uint64) error {
+	return t.withLease(ctx, func(ctx context.Context, _ uint64) error {
 		instance, err := t.f.Cloud.Start(ctx, platform.StartRequest{
 			Token:         token(s),
 			Kind:          platform.InstanceKind(s.Kind),
@@ -76,13 +77,13 @@
 	})
 }
 
-// drainAll announces the drains in the row and stops the servers that have nothing left to do.
+// drainAll announces the drains in the row and stops the draining servers that are idle or past their deadline.
 func (t *term) drainAll(ctx context.Context, servers []Server) error {
 	byID := make(map[string]Server, len(servers))
 	for _, s := range servers {
 		byID[s.ID] = s
 	}
-	var failed error
+	var lastErr error
 	for _, d := range t.row.Drains {
 		server, ok := byID[d.Instance]
 		if !ok {
@@ -100,16 +101,16 @@
 			continue
 		}
 		if err := t.stop(ctx, d.Instance); err != nil {
-			failed = err
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
-// mayStop reports whether a draining server runs nothing, or its time is over.
+// mayStop reports whether a draining server has been idle for minIdleTime or is past its deadline.
 func (t *term) mayStop(ctx context.Context, server Server, deadline time.Time) bool {
 	now := time.Now()
-	if now.Sub(t.announced[server.ID]) < spreadTime {
+	if now.Sub(t.announced[server.ID]) < announceTime {
 		return false
 	}
 	if now.After(deadline) {
@@ -125,11 +126,11 @@
 	if t.idle[server.ID].IsZero() {
 		t.idle[server.ID] = now
 	}
-	return now.Sub(t.idle[server.ID]) >= idleTime
+	return now.Sub(t.idle[server.ID]) >= minIdleTime
 }
 
 func (t *term) stop(ctx context.Context, instance string) error {
-	err := t.guarded(ctx, func(ctx context.Context, _ uint64) error { return t.f.Cloud.Stop(ctx, instance) })
+	err := t.withLease(ctx, func(ctx context.Context, _ uint64) error { return t.f.Cloud.Stop(ctx, instance) })
 	if err == nil {
 		t.f.Metrics.Add("fleet_stops", 1)
 		t.log.WithFields(logrus.Fields{"instance": instance}).Info("drained server stopped")
--- a/internal/fleetholder/decide.go
+++ b/internal/fleetholder/decide.go
@@ -13,56 +13,57 @@
 )
 
 const (
-	// startLimit is how long a started instance may stay out of the list before another one takes its place.
-	startLimit = 10 * time.Minute
-	// settleTime is how long a start stays in the row at least: longer than the lists of two nodes differ.
-	settleTime = 2 * time.Minute
-	// expectedStart is the start time that the price of a reclaim counts.
-	expectedStart = 3 * time.Minute
-	// refusalMemory is how long a refusal is remembered after its backoff.
-	refusalMemory = time.Hour
+	// startTimeout is how long a started instance may be missing from the instance list before it is replaced.
+	startTimeout = 10 * time.Minute
+	// rowRetention is how long starts of listed instances and drains stay in the row. It exceeds the time for which the
+	// instance lists of two nodes can differ.
+	rowRetention = 2 * time.Minute
+	// expectedStartTime is the instance start time assumed in the cost of a reclaim.
+	expectedStartTime = 3 * time.Minute
+	// refusalRetention is how long a refusal stays in the row after its backoff has ended.
+	refusalRetention = time.Hour
 )
 
-// settle removes from the row what is done: starts that were seen for some time, drains of servers that are gone, and
-// old refusals.
-func (t *term) settle(servers []Server) {
+// pruneRow removes finished entries from the row: starts whose instance has been listed or is overdue, drains of
+// servers that are gone, and expired refusals.
+func (t *term) pruneRow(servers []Server) {
 	now := time.Now()
-	there := make(map[string]bool, len(servers))
+	present := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		there[s.ID] = true
+		present[s.ID] = true
 	}
 	t.row.Starts = slices.DeleteFunc(t.row.Starts, func(s *pb.FleetStart) bool {
 		age := now.Sub(time.UnixMilli(int64(s.DecidedUnixMs)))
 		_, seen := t.seen[s.Instance]
 		switch {
-		case s.Instance != "" && there[s.Instance]:
+		case s.Instance != "" && present[s.Instance]:
 			t.seen[s.Instance] = now
-			return age > settleTime
-		case seen && now.Sub(t.seen[s.Instance]) > settleTime/4:
-			return true // it was there and is gone
+			return age > rowRetention
+		case seen && now.Sub(t.seen[s.Instance]) > rowRetention/4:
+			return true // the instance was listed and has disappeared
 		}
-		if age > startLimit {
+		if age > startTimeout {
 			t.f.Metrics.Add("fleet_starts_abandoned", 1)
 			return true
 		}
 		return false
 	})
 	t.row.Drains = slices.DeleteFunc(t.row.Drains, func(d *pb.FleetDrain) bool {
-		return !there[d.Instance] && now.Sub(time.UnixMilli(int64(d.BegunUnixMs))) > settleTime
+		return !present[d.Instance] && now.Sub(time.UnixMilli(int64(d.BegunUnixMs))) > rowRetention
 	})
 	t.row.Refusals = slices.DeleteFunc(t.row.Refusals, func(r *pb.FleetRefusal) bool {
-		return now.Sub(refusalOf(r).RetryAt()) > refusalMemory
+		return now.Sub(refusalFromRow(r).RetryAt()) > refusalRetention
 	})
 }
 
-func refusalOf(r *pb.FleetRefusal) fleet.Refusal {
+func refusalFromRow(r *pb.FleetRefusal) fleet.Refusal {
 	return fleet.Refusal{Count: int(r.Count), Last: time.UnixMilli(int64(r.LastUnixMs))}
 }
 
-// input returns what the plan depends on.
+// input assembles the input of the planner.
 func (t *term) input(index *config.Index, servers []Server) fleet.Input {
 	policy := index.Policy()
-	demand, reclaims := t.f.observed.input()
+	demand, reclaims := t.f.observer.input()
 	in := fleet.Input{
 		Now: time.Now(),
 		Policy: fleet.Policy{
@@ -71,26 +72,26 @@
 			RecomputeWeight:       int(policy.RecomputeWeight),
 			BetweenTokens:         policy.BetweenTokens,
 		},
-		Groups:    groupsOf(index),
+		Groups:    planGroups(index),
 		Domains:   t.f.Domains(),
 		Demand:    demand,
 		Reclaims:  reclaims,
 		Refusals:  map[fleet.Cell]fleet.Refusal{},
 		Prices:    t.prices,
-		StartTime: expectedStart,
+		StartTime: expectedStartTime,
 		Memory:    t.memory,
 	}
 	for _, r := range t.row.Refusals {
-		in.Refusals[fleet.Cell{Class: r.InstanceClass, Domain: r.FailureDomain, Reclaimable: r.Reclaimable}] = refusalOf(r)
+		in.Refusals[fleet.Cell{Class: r.InstanceClass, Domain: r.FailureDomain, Reclaimable: r.Reclaimable}] = refusalFromRow(r)
 	}
 	t.trackVersions(in.Groups, servers)
-	t.trackOrders(servers)
+	t.pruneOrders(servers)
 	in.Servers = t.planServers(servers)
 	return in
 }
 
-// groupsOf returns the groups with their classes and models.
-func groupsOf(index *config.Index) []fleet.Group {
+// planGroups converts the configured backend groups with their instance classes and models.
+func planGroups(index *config.Index) []fleet.Group {
 	folder := index.Folder()
 	var out []fleet.Group
 	for _, g := range folder.BackendGroups {
@@ -131,16 +132,16 @@
 	return out
 }
 
-// planServers converts the servers and adds those that were started and are not in the list yet.
+// planServers converts the listed servers and adds the started ones that are not listed yet.
 func (t *term) planServers(servers []Server) []fleet.Server {
 	draining := map[string]bool{}
 	for _, d := range t.row.Drains {
 		draining[d.Instance] = true
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	out := make([]fleet.Server, 0, len(servers)+len(t.row.Starts))
 	for _, s := range servers {
-		there[s.ID] = true
+		present[s.ID] = true
 		server := fleet.Server{
 			ID:          s.ID,
 			Group:       s.BackendGroup,
@@ -153,7 +154,7 @@
 			Known:       s.Known,
 			Models:      t.versionsOn(s),
 			Adapters:    s.Load.Adapters,
-			Ordered:     t.orderedOn(s.ID),
+			Ordered:     t.ordersOn(s.ID),
 			Draining:    draining[s.ID],
 		}
 		if s.Noticed || draining[s.ID] {
@@ -163,7 +164,7 @@
 	}
 	for _, s := range t.row.Starts {
 		_, seen := t.seen[s.Instance]
-		if (s.Instance == "" || !there[s.Instance]) && !seen {
+		if (s.Instance == "" || !present[s.Instance]) && !seen {
 			out = append(out, fleet.Server{
 				ID:          token(s),
 				Group:       s.BackendGroup,
@@ -177,7 +178,7 @@
 	return out
 }
 
-// decide enters the decisions of the plan into the row.
+// decide adds the decisions of the plan to the row.
 func (t *term) decide() {
 	now := uint64(time.Now().UnixMilli())
 	for _, s := range t.plan.Starts {
@@ -193,7 +194,7 @@
 			DecidedUnixMs: now,
 		})
 		fields := logrus.Fields{"backend_group": s.Group, "instance_class": s.Class, "failure_domain": s.Domain, "reclaimable": s.Reclaimable}
-		t.note(fields, "start instance", s.Reason)
+		t.recordDecision(fields, "start instance", s.Reason)
 	}
 	for _, d := range t.plan.Drains {
 		t.row.Drains = append(t.row.Drains, &pb.FleetDrain{
@@ -202,12 +203,12 @@
 			DeadlineUnixMs: now + uint64(t.f.DrainTime.Milliseconds()),
 		})
 		t.f.Metrics.Add("fleet_drains", 1)
-		t.note(logrus.Fields{"instance": d.Server}, "drain server", d.Reason)
+		t.recordDecision(logrus.Fields{"instance": d.Server}, "drain server", d.Reason)
 	}
 }
 
-// refused enters a refusal. Refusals at about the same time count once.
-func (t *term) refused(s *pb.FleetStart) {
+// recordRefusal adds a refused start to the row. Refusals within stepInterval count once.
+func (t *term) recordRefusal(s *pb.FleetStart) {
 	now := time.Now()
 	t.f.Metrics.Count("fleet_start_refusals", "place", s.InstanceClass+"/"+s.FailureDomain, 1)
 	t.log.WithFields(logrus.Fields{"instance_class": s.InstanceClass, "failure_domain": s.FailureDomain,
@@ -216,7 +217,7 @@
 		if r.InstanceClass != s.InstanceClass || r.FailureDomain != s.FailureDomain || r.Reclaimable != s.Reclaimable {
 			continue
 		}
-		if now.Sub(refusalOf(r).Last) > stepInterval {
+		if now.Sub(refusalFromRow(r).Last) > stepInterval {
 			r.Count, r.LastUnixMs = r.Count+1, uint64(now.UnixMilli())
 		}
 		return
@@ -225,8 +226,8 @@
 		Reclaimable: s.Reclaimable, Count: 1, LastUnixMs: uint64(now.UnixMilli())})
 }
 
-// accepted forgets the refusals of a place that accepts starts again.
-func (t *term) accepted(s *pb.FleetStart) {
+// clearRefusals removes the refusals for an instance class and failure domain that accepts starts again.
+func (t *term) clearRefusals(s *pb.FleetStart) {
 	t.row.Refusals = slices.DeleteFunc(t.row.Refusals, func(r *pb.FleetRefusal) bool {
 		return r.InstanceClass == s.InstanceClass && r.FailureDomain == s.FailureDomain && r.Reclaimable == s.Reclaimable
 	})
--- a/internal/fleetholder/harness_test.go
+++ b/internal/fleetholder/harness_test.go
@@ -26,42 +26,42 @@
 
 var testDomains = []fleet.Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}, {Name: "c", Region: "r"}, {Name: "d", Region: "r"}}
 
-// world has the platform and the servers that the fleet loops of several nodes share.
-type world struct {
+// testEnv holds the platform and the servers shared by the fleet loops of several nodes.
+type testEnv struct {
 	t       *testing.T
 	cloud   *standin.Cloud
 	table   *table.Table
 	weights *standin.Weights
 
-	mu        sync.Mutex
-	index     *config.Index
-	demand    map[string]fleet.Demand
-	servers   map[string]*server
-	checks    bool // servers check fencing numbers
-	announced map[string]time.Time
-	acts      []act
+	mu           sync.Mutex
+	index        *config.Index
+	demand       map[string]fleet.Demand
+	servers      map[string]*server
+	checkFencing bool // servers check fencing numbers
+	announced    map[string]time.Time
+	recorded     []platformCall
 }
 
-// server is an engine or a service.
+// server is a simulated engine or plain service.
 type server struct {
 	models, adapters []string
 	role             string
 	fencing          uint64
-	stale            int
+	staleOrders      int
 	busyUntil        time.Time
 	stopped          time.Time
 }
 
-// act is one call that a holder made.
-type act struct {
+// platformCall is one call made by a holder.
+type platformCall struct {
 	at         time.Time
 	node, kind string
-	what       string
+	detail     string
 }
 
-func newWorld(t *testing.T, seed uint64, weightsRate uint32) *world {
-	w := &world{t: t, table: table.New(table.Options{Seed: seed}), servers: map[string]*server{}, announced: map[string]time.Time{}}
-	w.weights = standin.NewWeights(weightsRate)
+func newTestEnv(t *testing.T, seed uint64, weightsRate uint32) *testEnv {
+	env := &testEnv{t: t, table: table.New(table.Options{Seed: seed}), servers: map[string]*server{}, announced: map[string]time.Time{}}
+	env.weights = standin.NewWeights(weightsRate)
 	var prices []platform.Price
 	for _, d := range testDomains {
 		for class, price := range map[string]uint64{"gpu": 9, "cpu": 1} {
@@ -69,39 +69,40 @@
 				platform.Price{InstanceClass: class, FailureDomain: d.Name, PricePerHourMicros: 3 * price})
 		}
 	}
-	w.cloud = standin.NewCloud(standin.CloudOptions{Launch: w.launch, StartDelay: 30 * time.Second, ListLag: 2 * time.Second, Prices: prices})
-	w.configure("")
-	return w
+	env.cloud = standin.NewCloud(standin.CloudOptions{Launch: env.launch, StartDelay: 30 * time.Second, ListLag: 2 * time.Second, Prices: prices})
+	env.configure("")
+	return env
 }
 
-// configure puts the example folder with one more file into force.
-func (w *world) configure(file string) {
+// configure activates the example configuration folder plus one file; "" adds none.
+func (env *testEnv) configure(file string) {
 	files := example.Files()
 	if file != "" {
 		files["90-test.json"] = []byte(file)
 	}
 	merged, faults := config.Merge(files)
-	assert.Equal(w.t, len(faults), 0, "%v", faults)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.index = config.NewIndex(&pb.Snapshot{Merged: merged, FolderRevision: 1})
+	assert.Equal(env.t, len(faults), 0, "%v", faults)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.index = config.NewIndex(&pb.Snapshot{Merged: merged, FolderRevision: 1})
 }
 
-func (w *world) launch(_ context.Context, i platform.Instance) (standin.Server, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.servers[i.ID] = &server{}
-	return standin.Server{Addr: i.ID, Stop: func() { w.stopped(i.ID) }}, nil
+func (env *testEnv) launch(_ context.Context, i platform.Instance) (standin.Server, error) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.servers[i.ID] = &server{}
+	return standin.Server{Addr: i.ID, Stop: func() { env.markStopped(i.ID) }}, nil
 }
 
-func (w *world) stopped(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.servers[id].stopped = time.Now()
+func (env *testEnv) markStopped(id string) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.servers[id].stopped = time.Now()
 }
 
-// addExample adds the servers of the example folder: 8 engines with all models, half of them reclaimable, and 4 services.
-func (w *world) addExample() {
+// addExample adds the servers of the example configuration: 8 engines with all models, half of them reclaimable, and 4
+// services.
+func (env *testEnv) addExample() {
 	for i := range 12 {
 		instance := platform.Instance{Kind: platform.ModelEngine, Region: "r", FailureDomain: testDomains[i%4].Name,
 			BackendGroup: "assistant", InstanceClass: "gpu", Reclaimable: i >= 4, PricePerHourMicros: 9}
@@ -115,15 +116,15 @@
 			s.models = []string{"brief-large", "quote-small"}
 			s.adapters = []string{"brief-large:harbour", "quote-small:harbour"}
 		}
-		w.servers[instance.ID] = s
-		w.cloud.Add(instance, func() { w.stopped(instance.ID) })
+		env.servers[instance.ID] = s
+		env.cloud.Add(instance, func() { env.markStopped(instance.ID) })
 	}
 }
 
-func (w *world) load(id string) backend.Load {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.servers[id]
+func (env *testEnv) load(id string) backend.Load {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	s := env.servers[id]
 	out := backend.Load{Models: slices.Clone(s.models), Adapters: slices.Clone(s.adapters), StartedUnixMillis: 1}
 	if time.Now().Before(s.busyUntil) {
 		out.Running = 1
@@ -131,12 +132,12 @@
 	return out
 }
 
-func (w *world) order(addr string, o backend.Order) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.servers[addr]
-	if w.checks && o.Fencing < s.fencing {
-		s.stale++
+func (env *testEnv) order(addr string, o backend.Order) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	s := env.servers[addr]
+	if env.checkFencing && o.Fencing < s.fencing {
+		s.staleOrders++
 		return backend.ErrStaleFencing
 	}
 	s.fencing = max(s.fencing, o.Fencing)
@@ -155,35 +156,35 @@
 	return nil
 }
 
-// live returns the instances of a group that are not leaving.
-func (w *world) live(group string) []platform.Instance {
-	list, _ := w.cloud.Instances(context.Background())
+// liveInstances returns the instances of a group in the state live.
+func (env *testEnv) liveInstances(group string) []platform.Instance {
+	list, _ := env.cloud.Instances(context.Background())
 	return slices.DeleteFunc(list, func(i platform.Instance) bool { return i.BackendGroup != group || i.State != platform.Live })
 }
 
-func (w *world) locked(fn func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *testEnv) withLock(fn func()) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	fn()
 }
 
 // server returns the state of a server.
-func (w *world) server(id string) (out server) {
-	w.locked(func() { out = *w.servers[id] })
+func (env *testEnv) server(id string) (out server) {
+	env.withLock(func() { out = *env.servers[id] })
 	return out
 }
 
-// calls returns the calls of all holders so far.
-func (w *world) calls() (out []act) {
-	w.locked(func() { out = slices.Clone(w.acts) })
+// calls returns the calls made by all holders so far.
+func (env *testEnv) calls() (out []platformCall) {
+	env.withLock(func() { out = slices.Clone(env.recorded) })
 	return out
 }
 
-func (w *world) count(kind string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *testEnv) countCalls(kind string) int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	n := 0
-	for _, a := range w.acts {
+	for _, a := range env.recorded {
 		if a.kind == kind {
 			n++
 		}
@@ -191,54 +192,54 @@
 	return n
 }
 
-// testNode is one node; its calls go through the node itself, which can be paused like a process.
+// testNode is one node. The platform calls of its fleet loop go through it, so that it can be paused like a process.
 type testNode struct {
-	*world
-	name   string
-	fleet  *Fleet
-	client *table.Client
-	mu     sync.Mutex
-	until  time.Time
-	// place is where the node pauses next, for longer than its lease.
-	place string
-	// staleRow changes what the node reads of the fleet's row.
+	*testEnv
+	name        string
+	fleet       *Fleet
+	client      *table.Client
+	mu          sync.Mutex
+	pausedUntil time.Time
+	// pausePoint is where the node pauses next, for longer than its lease.
+	pausePoint string
+	// staleRow replaces the fleet row that the node reads.
 	staleRow func(platform.Row) platform.Row
-	// late delivers an order after that time although the call has failed.
-	late time.Duration
+	// orderDelay makes order calls fail but delivers the orders after that time; 0 delivers them at once.
+	orderDelay time.Duration
 }
 
 // start runs the fleet loop of a node until the test ends.
-func (w *world) start(name string, ctx context.Context, wg *sync.WaitGroup) *testNode {
-	n := &testNode{world: w, name: name, client: w.table.NewClient(name)}
+func (env *testEnv) start(name string, ctx context.Context, wg *sync.WaitGroup) *testNode {
+	n := &testNode{testEnv: env, name: name, client: env.table.NewClient(name)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ids := 0
 	n.fleet = New(Options{
 		Leases:    lease.New(lease.Options{Table: n, Node: name, ID: func() string { ids++; return fmt.Sprint(ids) }}),
 		Table:     n,
-		Cloud:     nodeCloud{w.cloud, n},
-		Instances: w.cloud,
-		Weights:   w.weights,
-		Order:     n.giveOrder,
-		Load:      func(_ context.Context, i platform.Instance) (backend.Load, error) { return w.load(i.ID), nil },
+		Cloud:     recordingCloud{env.cloud, n},
+		Instances: env.cloud,
+		Weights:   env.weights,
+		Order:     n.sendOrder,
+		Load:      func(_ context.Context, i platform.Instance) (backend.Load, error) { return env.load(i.ID), nil },
 		Config: func() *config.Index {
-			n.wait()
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			return w.index
+			n.waitWhilePaused()
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			return env.index
 		},
 		Servers: n.list,
 		Domains: func() []fleet.Domain { return testDomains },
 		Demand: func() map[string]fleet.Demand {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			return w.demand
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			return env.demand
 		},
 		Announce: func(server string, _ time.Time) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if w.announced[server].IsZero() {
-				w.announced[server] = time.Now()
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			if env.announced[server].IsZero() {
+				env.announced[server] = time.Now()
 			}
 		},
 		Metrics: metrics.NewSet(),
@@ -249,7 +250,7 @@
 }
 
 func (n *testNode) list() []Server {
-	n.reach("plan")
+	n.pauseIfAt("plan")
 	list, _ := n.cloud.Instances(context.Background())
 	var out []Server
 	for _, i := range list {
@@ -261,46 +262,46 @@
 func (n *testNode) pause(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.until = time.Now().Add(d)
+	n.pausedUntil = time.Now().Add(d)
 }
 
-// pauseAt makes the node pause the next time it gets to a place.
-func (n *testNode) pauseAt(place string) {
+// pauseAt makes the node pause the next time it reaches the point.
+func (n *testNode) pauseAt(point string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.place = place
+	n.pausePoint = point
 }
 
-// reach pauses the node if it is to pause here.
-func (n *testNode) reach(place string) {
+// pauseIfAt pauses the node if the point is its pause point.
+func (n *testNode) pauseIfAt(point string) {
 	n.mu.Lock()
-	here := n.place == place
+	here := n.pausePoint == point
 	if here {
-		n.place, n.until = "", time.Now().Add(5*time.Minute)
+		n.pausePoint, n.pausedUntil = "", time.Now().Add(5*time.Minute)
 	}
 	n.mu.Unlock()
-	n.wait()
+	n.waitWhilePaused()
 }
 
-// woken reports whether the node has reached its place and is no longer paused.
-func (n *testNode) woken() bool {
+// resumed reports whether the node has reached its pause point and is no longer paused.
+func (n *testNode) resumed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.place == "" && time.Now().After(n.until)
+	return n.pausePoint == "" && time.Now().After(n.pausedUntil)
 }
 
-func (n *testNode) wait() {
+func (n *testNode) waitWhilePaused() {
 	n.mu.Lock()
-	until := n.until
+	until := n.pausedUntil
 	n.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
 func (n *testNode) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	n.wait()
-	defer n.wait()
+	n.waitWhilePaused()
+	defer n.waitWhilePaused()
 	row, err := n.client.Get(ctx, table, key)
-	n.locked(func() {
+	n.withLock(func() {
 		if table == tableName && n.staleRow != nil && err == nil {
 			row = n.staleRow(row)
 		}
@@ -313,45 +314,45 @@
 }
 
 func (n *testNode) Commit(ctx context.Context, m []platform.Mutation) ([]uint64, error) {
-	n.wait()
-	defer n.wait()
+	n.waitWhilePaused()
+	defer n.waitWhilePaused()
 	if m[0].Table == tableName {
-		n.reach("before row")
-		defer n.reach("after row")
+		n.pauseIfAt("before row")
+		defer n.pauseIfAt("after row")
 	}
 	return n.client.Commit(ctx, m)
 }
 
-func (n *testNode) record(kind, what string) {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
-	n.acts = append(n.acts, act{time.Now(), n.name, kind, what})
+func (n *testNode) record(kind, detail string) {
+	n.testEnv.mu.Lock()
+	defer n.testEnv.mu.Unlock()
+	n.recorded = append(n.recorded, platformCall{time.Now(), n.name, kind, detail})
 }
 
-func (n *testNode) giveOrder(ctx context.Context, addr string, o backend.Order) error {
+func (n *testNode) sendOrder(ctx context.Context, addr string, o backend.Order) error {
 	n.record("order", string(o.Kind)+" "+o.Model)
-	var late time.Duration
-	n.locked(func() { late = n.late })
-	if late > 0 {
-		time.AfterFunc(late, func() { _ = n.order(addr, o) })
+	var delay time.Duration
+	n.withLock(func() { delay = n.orderDelay })
+	if delay > 0 {
+		time.AfterFunc(delay, func() { _ = n.order(addr, o) })
 		<-ctx.Done()
 		return backend.ErrInterrupted
 	}
 	return n.order(addr, o)
 }
 
-// nodeCloud records the calls of a node.
-type nodeCloud struct {
+// recordingCloud records the calls of a node.
+type recordingCloud struct {
 	*standin.Cloud
 	n *testNode
 }
 
-func (c nodeCloud) Start(ctx context.Context, req platform.StartRequest) (platform.Instance, error) {
+func (c recordingCloud) Start(ctx context.Context, req platform.StartRequest) (platform.Instance, error) {
 	c.n.record("start", req.Token)
 	return c.Cloud.Start(ctx, req)
 }
 
-func (c nodeCloud) Stop(ctx context.Context, id string) error {
+func (c recordingCloud) Stop(ctx context.Context, id string) error {
 	c.n.record("stop", id)
 	return c.Cloud.Stop(ctx, id)
 }
--- a/internal/fleetholder/holder.go
+++ b/internal/fleetholder/holder.go
@@ -1,20 +1,20 @@
-// Package fleetholder carries out the fleet plan.
+// Package fleetholder executes the fleet plan on the node that holds the fleet lease.
 //
 // # Design
 //
-// Run is part of every entry node and acts only while the node holds the lease "fleet". What a successor must know is
-// in one row of the table service: starts and drains are written there, under the condition that the row is as the
-// holder knows it, before the cloud is asked or a server is announced as leaving. The number of a start decision in
-// the row makes its token, so a successor that repeats the start gets the same instance. A holder whose lease has
-// passed to another node fails at the row; one that wakes after the write fails at the check of the lease, which comes
-// right before each call. A call that is late all the same repeats a decision in the row.
+// Every entry node calls Run, which acts only while the node holds the lease "fleet". The state that a successor needs
+// is one row of the table service. Starts and drains are written to it, conditional on the row version that the holder
+// read last, before the cloud API is called or a server is announced as leaving. The token of a start is derived from
+// its decision number in the row, so a successor that repeats the start gets the same instance. If the lease has moved
+// to another node, the conditional write fails; a holder that is paused after the write fails at the lease check,
+// which precedes each call. A call that is delayed even further only repeats a decision already in the row.
 //
-// Orders are desired states and are only given for what a late order cannot harm: a load adds to what a server has,
-// an unload goes only to servers that check fencing numbers, and the standby role goes only to servers that drain, which is never
-// withdrawn.
+// Orders state a desired state and are limited to those that do no harm when they arrive late: a load only adds to what
+// a server holds, an unload goes only to servers that check fencing numbers, and the standby role goes only to
+// draining servers, and a drain is never withdrawn.
 //
-// The row is written only when a decision changes it, so a fleet at rest costs no store call beyond the lease's.
-// Without a holder nodes serve on with the servers there are.
+// The row is written only when a decision changes it, so an idle fleet makes no store calls besides lease renewals.
+// Without a holder, nodes keep serving with the existing servers.
 package fleetholder
 
 import (
@@ -40,72 +40,73 @@
 const LeaseName = "fleet"
 
 const (
-	// stepInterval is the time between two plans, retryInterval the wait after the platform failed.
+	// stepInterval is the time between two planning steps, retryInterval the wait after a failed step.
 	stepInterval  = 2 * time.Second
 	retryInterval = 5 * time.Second
-	// watchInterval is how often a node notes the demand, whether it is the holder or not.
-	watchInterval = time.Second
-	// callTimeout bounds one read of the platform.
+	// observeInterval is how often each node, holder or not, samples demand and reclaims.
+	observeInterval = time.Second
+	// callTimeout bounds one read from the platform.
 	callTimeout = 2 * time.Second
 	// pricesInterval is how often the prices are read.
 	pricesInterval = time.Minute
-	// releaseTimeout bounds the release of the lease at the end.
+	// releaseTimeout bounds the release of the lease when the loop ends.
 	releaseTimeout = time.Second
-	// keptReasons bounds the decisions that the status shows.
-	keptReasons = 16
+	// maxRecentDecisions bounds the number of decisions in Status.Recent.
+	maxRecentDecisions = 16
 )
 
-// Server is a backend server as the node knows it.
+// Server is this node's view of a backend server.
 type Server struct {
 	platform.Instance
-	// Load is the last report; Known is false before the first.
+	// Load is the last load report; Known is false before the first one.
 	Load  backend.Load
 	Known bool
-	// Noticed means that the cloud reclaims the instance.
+	// Noticed means that the cloud has given notice that it will reclaim the instance.
 	Noticed bool
 }
 
-// Options are the parts of a Fleet.
+// Options holds the dependencies and settings of a Fleet.
 type Options struct {
 	Leases    *lease.Leases
 	Table     platform.Table
 	Cloud     platform.Cloud
 	Instances platform.InstanceList
 	Weights   platform.Weights
-	// Order gives an order to an engine.
+	// Order sends an order to an engine.
 	Order func(ctx context.Context, addr string, order backend.Order) error
-	// Load asks a backend server for its load now.
+	// Load queries a backend server for its current load.
 	Load func(ctx context.Context, instance platform.Instance) (backend.Load, error)
 	// Config returns the configuration in force, or nil.
 	Config func() *config.Index
-	// Servers returns the backend servers, Domains the failure domains in which instances may run.
+	// Servers returns the known backend servers, Domains the failure domains in which instances may run.
 	Servers func() []Server
 	Domains func() []fleet.Domain
-	// Demand returns the present demand per model.
+	// Demand returns the current demand by model.
 	Demand func() map[string]fleet.Demand
-	// Announce tells all nodes that a server leaves by the plan. It is called again and again.
+	// Announce tells all nodes that the plan drains a server. It is called repeatedly for the same server.
 	Announce func(server string, deadline time.Time)
-	// MaxOrderTime bounds each call that the lease allows; it must not exceed that of Leases.
+	// MaxOrderTime bounds each call made under the lease; it must not exceed the MaxOrderTime of Leases. 0 means
+	// lease.DefaultMaxOrderTime.
 	MaxOrderTime time.Duration
-	// DrainTime is how long a drained server may finish what it runs.
+	// DrainTime is how long a draining server may finish its requests. 0 means DefaultDrainTime.
 	DrainTime time.Duration
 	Metrics   *metrics.Set
 	Log       *logrus.Entry
 }
 
-// DefaultDrainTime lets nearly all answers finish where they run; what is left moves to other servers.
+// DefaultDrainTime is long enough for nearly all responses to finish on their server; the rest move to other servers.
 const DefaultDrainTime = 10 * time.Minute
 
-// Fleet is the fleet loop of one node.
+// Fleet runs the fleet control loop of one node.
 type Fleet struct {
 	Options
-	observed *observer
+	observer *observer
 
 	mu     sync.Mutex
 	status Status
 }
 
-// Status is what the node shows of its fleet loop.
+// Status is the state of the control loop that the node's status endpoint reports.
 type Status struct {
 	Holder  bool              `json:"holder"`
 	Fencing uint64            `json:"fencing,omitempty"`
@@ -113,7 +114,7 @@
 	Short   map[string]string `json:"short,omitempty"`
 	Starts  int               `json:"pending_starts"`
 	Drains  []string          `json:"draining,omitempty"`
-	// Recent has the last decisions with their reasons, newest last.
+	// Recent holds the last decisions with their reasons, newest last.
 	Recent []string `json:"recent,omitempty"`
 }
 
@@ -125,33 +126,33 @@
 	if opts.DrainTime == 0 {
 		opts.DrainTime = DefaultDrainTime
 	}
-	return &Fleet{Options: opts, observed: newObserver()}
+	return &Fleet{Options: opts, observer: newObserver()}
 }
 
-// Run takes part in the election of the holder and acts while this node is it, until ctx ends.
+// Run competes for the fleet lease and executes the plan while this node holds it, until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { f.watch(ctx) })
+	wg.Go(func() { f.observe(ctx) })
 	for ctx.Err() == nil {
 		held, err := f.Leases.Acquire(ctx, LeaseName)
 		if err != nil {
 			return
 		}
-		f.hold(ctx, held)
+		f.runTerm(ctx, held)
 	}
 }
 
-// watch notes demand and reclaims on every node, so that a new holder knows the last minutes.
-func (f *Fleet) watch(ctx context.Context) {
+// observe samples demand and reclaims on every node, so that a new holder has the history of the last minutes.
+func (f *Fleet) observe(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.observed.note(time.Now(), f.Demand(), f.Servers())
-		clock.Sleep(ctx, watchInterval)
+		f.observer.record(time.Now(), f.Demand(), f.Servers())
+		clock.Sleep(ctx, observeInterval)
 	}
 }
 
-// hold acts until the lease or ctx ends.
-func (f *Fleet) hold(ctx context.Context, held *lease.Held) {
+// runTerm plans and acts until the lease or ctx ends.
+func (f *Fleet) runTerm(ctx context.Context, held *lease.Held) {
 	fencing, _ := held.Check()
 	log := f.Log.WithField("fencing", fencing)
 	log.Info("fleet lease acquired")
@@ -159,13 +160,13 @@
 	for ctx.Err() == nil && t.valid() {
 		wait := stepInterval
 		if err := t.step(ctx); err != nil {
-			log.WithError(err).Debug("fleet step failed; the fleet stays as it is until the next")
+			log.WithError(err).Debug("fleet step failed; retrying after a delay")
 			f.Metrics.Count("fleet_steps", "result", "failed", 1)
 			wait = retryInterval
 		} else {
 			f.Metrics.Count("fleet_steps", "result", "done", 1)
 		}
-		t.report()
+		t.updateStatus()
 		select {
 		case <-held.Done():
 		case <-ctx.Done():
@@ -177,11 +178,11 @@
 	release, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := held.Release(release); err != nil {
-		log.WithError(err).Debug("fleet lease not released; the successor waits until it expires")
+		log.WithError(err).Debug("fleet lease not released; the successor must wait until it expires")
 	}
 }
 
-// Status returns the state of the loop.
+// Status returns the state of the control loop.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,11 +195,11 @@
 	f.status = s
 }
 
-// errLeaseLost means that the lease is not valid; nothing was sent.
+// errLeaseLost means that the lease is no longer valid and that the call was not made.
 var errLeaseLost = errors.New("fleetholder: the lease is no longer valid")
 
-// guarded calls fn if the lease is valid right now. fn gets the fencing number and must end within MaxOrderTime.
-func (t *term) guarded(ctx context.Context, fn func(ctx context.Context, fencing uint64) error) error {
+// withLease calls fn if the lease is valid. fn receives the fencing number and a context that ends after MaxOrderTime.
+func (t *term) withLease(ctx context.Context, fn func(ctx context.Context, fencing uint64) error) error {
 	ctx, cancel := context.WithTimeout(ctx, t.f.MaxOrderTime)
 	defer cancel()
 	fencing, ok := t.held.Check()
@@ -208,6 +209,7 @@
 	return fn(ctx, fencing)
 }
 
+// token returns the idempotency token of a start.
 func token(s *pb.FleetStart) string {
 	kind := "on-demand"
 	if s.Reclaimable {
--- a/internal/fleetholder/observer.go
+++ b/internal/fleetholder/observer.go
@@ -7,15 +7,15 @@
 	"github.com/pollenlug/pollenlug/pkg/fleet"
 )
 
-// reclaimHalfLife is how fast old reclaims lose weight, so that a bad day does not decide for ever.
+// reclaimHalfLife is the half-life of the reclaim history, so that one day with many reclaims loses influence over time.
 const reclaimHalfLife = 24 * time.Hour
 
-// observer keeps the demand of the last minutes and the reclaims. They are lost with the process.
+// observer keeps the recent demand and the reclaim history in memory; a restart loses them.
 type observer struct {
 	mu       sync.Mutex
 	demand   fleet.History
 	reclaims map[fleet.PlaceKey]fleet.ReclaimHistory
-	// noticed has the instances whose reclaim was counted and that are still there.
+	// noticed holds the listed instances whose reclaim has been counted.
 	noticed map[string]bool
 	last    time.Time
 }
@@ -24,44 +24,44 @@
 	return &observer{reclaims: map[fleet.PlaceKey]fleet.ReclaimHistory{}, noticed: map[string]bool{}}
 }
 
-func (o *observer) note(now time.Time, demand map[string]fleet.Demand, servers []Server) {
+func (o *observer) record(now time.Time, demand map[string]fleet.Demand, servers []Server) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.demand.Add(now, demand)
-	passed := now.Sub(o.last)
+	elapsed := now.Sub(o.last)
 	if o.last.IsZero() {
-		passed = 0
+		elapsed = 0
 	}
 	o.last = now
-	o.age(passed)
-	there := make(map[string]bool, len(o.noticed))
+	o.decay(elapsed)
+	present := make(map[string]bool, len(o.noticed))
 	for _, s := range servers {
 		if !s.Reclaimable {
 			continue
 		}
 		place := fleet.PlaceKey{Class: s.InstanceClass, Domain: s.FailureDomain}
 		h := o.reclaims[place]
-		h.InstanceHours += passed.Hours()
+		h.InstanceHours += elapsed.Hours()
 		if s.Noticed {
-			there[s.ID] = true
+			present[s.ID] = true
 			if !o.noticed[s.ID] {
 				h.Reclaims++
 			}
 		}
 		o.reclaims[place] = h
 	}
-	o.noticed = there
+	o.noticed = present
 }
 
-// age lets the history lose weight.
-func (o *observer) age(passed time.Duration) {
-	keep := 1 - float64(passed)/float64(reclaimHalfLife)*0.693
+// decay reduces the weight of the reclaim history by the elapsed time.
+func (o *observer) decay(elapsed time.Duration) {
+	factor := 1 - float64(elapsed)/float64(reclaimHalfLife)*0.693
 	for place, h := range o.reclaims {
-		o.reclaims[place] = fleet.ReclaimHistory{Reclaims: h.Reclaims * keep, InstanceHours: h.InstanceHours * keep}
+		o.reclaims[place] = fleet.ReclaimHistory{Reclaims: h.Reclaims * factor, InstanceHours: h.InstanceHours * factor}
 	}
 }
 
-// input returns copies of what was observed.
+// input returns the demand forecast and a copy of the reclaim history.
 func (o *observer) input() (map[string]fleet.Demand, map[fleet.PlaceKey]fleet.ReclaimHistory) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleetholder/orders.go
+++ b/internal/fleetholder/orders.go
@@ -13,24 +13,24 @@
 	"github.com/pollenlug/pollenlug/pkg/fleet"
 )
 
-// loadLimit is how long an order may take to show in the server's report before it is given again.
-const loadLimit = 5 * time.Minute
+// orderReportTimeout is how long an order may take to appear in the server's load report before it is sent again.
+const orderReportTimeout = 5 * time.Minute
 
-// unloadDelay is how long a model must be out of the configuration before it is unloaded, so that an edit that is soon
-// undone costs no load.
+// unloadDelay is how long the plan must have asked for an unload before it is ordered, so that a configuration edit that
+// is soon reverted does not cause the model to be loaded again.
 const unloadDelay = 10 * time.Minute
 
-// reportLag is how long reports may show what was before an order.
+// reportLag is how long load reports may still show the state before an order.
 const reportLag = 10 * time.Second
 
-// given is an order that was accepted by the server.
-type given struct {
+// acceptedOrder is the value of an order that the server accepted, and when.
+type acceptedOrder struct {
 	value string
 	at    time.Time
 }
 
-// keyOf returns the key and the value of an order in fleet.Server.Ordered.
-func keyOf(o backend.Order) (key, value string) {
+// orderKey returns the key and value of an order in fleet.Server.Ordered, or "" for orders that are not tracked.
+func orderKey(o backend.Order) (key, value string) {
 	switch o.Kind {
 	case backend.LoadModel:
 		return o.Model, o.Version
@@ -42,18 +42,18 @@
 	return "", ""
 }
 
-// orderAll gives the orders of the plan, most needed first. A load that the weight store does not allow yet keeps the
-// loads after it waiting, too, so that small ones do not overtake those that are needed more.
+// orderAll sends the orders of the plan in priority order. A load that the weight store does not admit yet also blocks
+// the loads after it, so that small loads do not overtake more urgent large ones.
 func (t *term) orderAll(ctx context.Context, servers []Server) error {
 	addrs := make(map[string]string, len(servers))
 	for _, s := range servers {
 		addrs[s.ID] = s.Addr
 	}
 	blocked := time.Now().Before(t.loadAfter)
-	t.trackUnwanted()
+	t.trackUnloads()
 	for _, o := range t.plan.Orders {
 		addr := addrs[o.Server]
-		if o.Kind == backend.Unload && time.Since(t.unwanted[o.Model]) < unloadDelay {
+		if o.Kind == backend.Unload && time.Since(t.unloadSince[o.Model]) < unloadDelay {
 			continue
 		}
 		if addr == "" || o.WeightsMiB > 0 && blocked {
@@ -76,25 +76,25 @@
 	return nil
 }
 
-// trackUnwanted notes since when the plan wants models to be unloaded.
-func (t *term) trackUnwanted() {
-	unwanted := map[string]time.Time{}
+// trackUnloads records since when the plan has asked for each model to be unloaded.
+func (t *term) trackUnloads() {
+	unloads := map[string]time.Time{}
 	for _, o := range t.plan.Orders {
 		if o.Kind != backend.Unload {
 			continue
 		}
-		since := t.unwanted[o.Model]
+		since := t.unloadSince[o.Model]
 		if since.IsZero() {
 			since = time.Now()
 		}
-		unwanted[o.Model] = since
+		unloads[o.Model] = since
 	}
-	t.unwanted = unwanted
+	t.unloadSince = unloads
 }
 
 func (t *term) reserve(ctx context.Context, o fleet.Order) (time.Duration, error) {
 	var wait time.Duration
-	err := t.guarded(ctx, func(ctx context.Context, _ uint64) (err error) {
+	err := t.withLease(ctx, func(ctx context.Context, _ uint64) (err error) {
 		wait, err = t.f.Weights.Reserve(ctx, o.Model, o.WeightsMiB)
 		return err
 	})
@@ -102,7 +102,7 @@
 }
 
 func (t *term) order(ctx context.Context, addr string, o fleet.Order) error {
-	err := t.guarded(ctx, func(ctx context.Context, fencing uint64) error {
+	err := t.withLease(ctx, func(ctx context.Context, fencing uint64) error {
 		o.Fencing = fencing
 		return t.f.Order(ctx, addr, o.Order)
 	})
@@ -110,8 +110,8 @@
 	switch {
 	case err == nil:
 		t.f.Metrics.Count("fleet_orders", "kind", string(o.Kind), 1)
-		t.note(fields, "order "+string(o.Kind), o.Reason)
-		t.keep(o)
+		t.recordDecision(fields, "order "+string(o.Kind), o.Reason)
+		t.rememberOrder(o)
 	case errors.Is(err, backend.ErrStaleFencing):
 		t.f.Metrics.Add("fleet_stale_fencing_refusals", 1)
 		t.log.WithFields(fields).Warn("server refused an order with a stale fencing number")
@@ -122,16 +122,16 @@
 	return err
 }
 
-// keep remembers an order until the server's report shows it.
-func (t *term) keep(o fleet.Order) {
-	key, value := keyOf(o.Order)
+// rememberOrder keeps an accepted order until the server's load report shows it.
+func (t *term) rememberOrder(o fleet.Order) {
+	key, value := orderKey(o.Order)
 	if key == "" {
 		return
 	}
 	if t.ordered[o.Server] == nil {
-		t.ordered[o.Server] = map[string]given{}
+		t.ordered[o.Server] = map[string]acceptedOrder{}
 	}
-	t.ordered[o.Server][key] = given{value, time.Now()}
+	t.ordered[o.Server][key] = acceptedOrder{value, time.Now()}
 	if o.Kind == backend.LoadModel {
 		if t.updated[o.Model] == nil {
 			t.updated[o.Model] = map[string]bool{}
@@ -140,15 +140,16 @@
 	}
 }
 
-// trackOrders forgets the orders that the reports show, those that took too long, and those of servers that are gone.
-func (t *term) trackOrders(servers []Server) {
+// pruneOrders forgets orders that load reports confirm, orders older than orderReportTimeout, and orders to servers
+// that are gone. Role orders are kept as long as the server is listed, as reports do not show roles.
+func (t *term) pruneOrders(servers []Server) {
 	now := time.Now()
-	kept := make(map[string]map[string]given, len(t.ordered))
+	kept := make(map[string]map[string]acceptedOrder, len(t.ordered))
 	for _, s := range servers {
 		orders := t.ordered[s.ID]
 		for key, order := range orders {
-			shown := slices.Contains(s.Load.Models, key) || slices.Contains(s.Load.Adapters, key)
-			if age := now.Sub(order.at); key != "role" && (shown && age > reportLag || age > loadLimit) {
+			reported := slices.Contains(s.Load.Models, key) || slices.Contains(s.Load.Adapters, key)
+			if age := now.Sub(order.at); key != "role" && (reported && age > reportLag || age > orderReportTimeout) {
 				delete(orders, key)
 			}
 		}
@@ -159,7 +160,7 @@
 	t.ordered = kept
 }
 
-func (t *term) orderedOn(server string) map[string]string {
+func (t *term) ordersOn(server string) map[string]string {
 	out := make(map[string]string, len(t.ordered[server]))
 	for key, order := range t.ordered[server] {
 		out[key] = order.value
@@ -167,38 +168,38 @@
 	return out
 }
 
-// trackVersions finds out which models have their present version on all servers. Reports name no versions, so the row
-// keeps the last version that all servers have. A successor repeats the orders of an update that was not complete;
-// engines ignore an order for the version they have.
+// trackVersions records in the row the models whose configured version all their servers have. Load reports contain no
+// versions, so the row keeps the last version that was deployed everywhere. A successor repeats the orders of an
+// incomplete update; engines ignore an order for a version that they already have.
 func (t *term) trackVersions(groups []fleet.Group, servers []Server) {
 	for _, g := range groups {
 		for _, m := range g.Models {
-			if t.versionOf(m.Name) == m.Version {
+			if t.deployedVersion(m.Name) == m.Version {
 				delete(t.updated, m.Name)
 				continue
 			}
-			if t.versionOf(m.Name) == "" || t.updatedAll(m.Name, servers) {
-				t.setVersion(m.Name, m.Version)
+			if t.deployedVersion(m.Name) == "" || t.updatedOnAll(m.Name, servers) {
+				t.setDeployedVersion(m.Name, m.Version)
 			}
 		}
 	}
 }
 
-func (t *term) updatedAll(model string, servers []Server) bool {
-	held := false
+func (t *term) updatedOnAll(model string, servers []Server) bool {
+	loaded := false
 	for _, s := range servers {
 		if !slices.Contains(s.Load.Models, model) {
 			continue
 		}
-		held = true
+		loaded = true
 		if !t.updated[model][s.ID] {
 			return false
 		}
 	}
-	return held
+	return loaded
 }
 
-func (t *term) versionOf(model string) string {
+func (t *term) deployedVersion(model string) string {
 	for _, v := range t.row.Versions {
 		if v.Model == model {
 			return v.Version
@@ -207,7 +208,7 @@
 	return ""
 }
 
-func (t *term) setVersion(model, version string) {
+func (t *term) setDeployedVersion(model, version string) {
 	for _, v := range t.row.Versions {
 		if v.Model == model {
 			v.Version = version
@@ -217,12 +218,12 @@
 	t.row.Versions = append(t.row.Versions, &pb.FleetVersion{Model: model, Version: version})
 }
 
-// versionsOn returns the versions of the models on a server as far as they are known.
+// versionsOn returns the known versions of the models on a server; "" stands for an unknown one.
 func (t *term) versionsOn(s Server) map[string]string {
 	out := make(map[string]string, len(s.Load.Models))
 	index := t.f.Config()
 	for _, name := range s.Load.Models {
-		out[name] = t.versionOf(name)
+		out[name] = t.deployedVersion(name)
 		if t.updated[name][s.ID] && index != nil {
 			if m, ok := index.Model(name); ok {
 				out[name] = m.Version
--- a/internal/fleetholder/term.go
+++ b/internal/fleetholder/term.go
@@ -16,43 +16,43 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Table and row of the state that a successor needs.
+// Table and key of the row with the state that a successor needs.
 const (
 	tableName = "fleet"
 	rowKey    = "plan"
 )
 
-// term is one period in which this node holds the lease.
+// term is one period in which this node holds the fleet lease.
 type term struct {
 	f    *Fleet
 	held *lease.Held
 	log  *logrus.Entry
 
-	// row is the state as it should be stored, stored the one that was read or written last. verified is false until
-	// both are known to be those of the table.
+	// row is the desired content of the stored row, stored the content that was read or written last. verified is false
+	// until both are known to match the table.
 	row, stored *pb.FleetRow
 	version     uint64
 	verified    bool
-	// listed are the instances that the successor read itself when it took over and that the shared list has not shown.
+	// listed holds the instances that this node read at the start of its term and that the shared list lacks so far.
 	listed   []platform.Instance
 	listedAt time.Time
 
 	memory  *fleet.Memory
 	plan    fleet.Result
 	recent  []string
-	ordered map[string]map[string]given // by server and key, see fleet.Server.Ordered
-	// updated has the servers that loaded the present version of a model while others hold an older one.
+	ordered map[string]map[string]acceptedOrder // by server and key, see fleet.Server.Ordered
+	// updated holds, by model, the servers that accepted an order to load the current version.
 	updated map[string]map[string]bool
-	// unwanted has the models to unload and since when they are not configured.
-	unwanted map[string]time.Time
-	// loadAfter is when the weight store allows the next load.
+	// unloadSince holds, by model, since when the plan has asked for it to be unloaded.
+	unloadSince map[string]time.Time
+	// loadAfter is the time from which the weight store admits the next load.
 	loadAfter time.Time
 	prices    []platform.Price
 	pricesAt  time.Time
-	// seen has the started instances that were in the list, missing since when those are not.
+	// seen holds when each started instance was last in the instance list.
 	seen map[string]time.Time
 	idle map[string]time.Time // since when a draining server has run nothing
-	// announced is when this term announced a drain first.
+	// announced holds when each drain was first announced in this term.
 	announced map[string]time.Time
 }
 
@@ -61,7 +61,7 @@
 		f:         f,
 		held:      held,
 		log:       log,
-		ordered:   map[string]map[string]given{},
+		ordered:   map[string]map[string]acceptedOrder{},
 		updated:   map[string]map[string]bool{},
 		seen:      map[string]time.Time{},
 		idle:      map[string]time.Time{},
@@ -74,7 +74,7 @@
 	return ok
 }
 
-// step plans and acts once. An error means that the platform or the lease is in the way.
+// step plans and acts once. It returns errors of the platform or of the lease.
 func (t *term) step(ctx context.Context) error {
 	index := t.f.Config()
 	if index == nil {
@@ -86,19 +86,19 @@
 		}
 	}
 	if t.version == 0 {
-		if time.Since(t.listedAt) < firstWait {
+		if time.Since(t.listedAt) < initialListWait {
 			return nil
 		}
-		t.listed = nil // the shared list is newer by now
+		t.listed = nil // the shared list is more recent by now
 	}
 	t.readPrices(ctx)
 	servers := t.servers()
-	t.settle(servers)
+	t.pruneRow(servers)
 	short := t.plan.Short
 	t.plan = fleet.Plan(t.input(index, servers))
 	t.memory = t.plan.Memory
 	if !maps.Equal(short, t.plan.Short) {
-		t.log.WithField("groups", t.plan.Short).Warn("backend groups that cannot get their capacity have changed")
+		t.log.WithField("groups", t.plan.Short).Warn("set of backend groups short of capacity changed")
 	}
 	t.decide()
 	if err := t.store(ctx); err != nil {
@@ -107,7 +107,7 @@
 	return errors.Join(t.startAll(ctx), t.drainAll(ctx, servers), t.orderAll(ctx, servers))
 }
 
-// verify reads the state that the predecessor left and the instances that there are.
+// verify reads the row left by the previous holder and the current instances.
 func (t *term) verify(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// store writes the row if it has changed. The condition on the version keeps a holder that is late, or that has read
-// an old row, from acting: it reads again.
+// store writes the row if it has changed. The write is conditional on the version, so a delayed holder or one that read
+// a stale row cannot act; it reads the row again instead.
 func (t *term) store(ctx context.Context) error {
 	if proto.Equal(t.row, t.stored) {
 		return nil
@@ -150,7 +150,7 @@
 		condition = platform.Condition{Kind: platform.Absent}
 	}
 	mutation := platform.Mutation{Table: tableName, Key: rowKey, Value: value, If: condition}
-	return t.guarded(ctx, func(ctx context.Context, _ uint64) error {
+	return t.withLease(ctx, func(ctx context.Context, _ uint64) error {
 		versions, err := t.f.Table.Commit(ctx, []platform.Mutation{mutation})
 		if err != nil {
 			t.verified = false
@@ -161,7 +161,7 @@
 	})
 }
 
-// readPrices keeps the last prices when they cannot be read.
+// readPrices refreshes the prices every pricesInterval and keeps the last ones when the read fails.
 func (t *term) readPrices(ctx context.Context) {
 	if time.Since(t.pricesAt) < pricesInterval {
 		return
@@ -170,30 +170,30 @@
 	defer cancel()
 	prices, err := t.f.Cloud.Prices(ctx)
 	if err != nil {
-		t.log.WithError(err).Debug("prices are unavailable; the last ones stay in force")
+		t.log.WithError(err).Debug("could not read prices; keeping the last known ones")
 		return
 	}
 	t.prices, t.pricesAt = prices, time.Now()
 }
 
-// firstWait is how long the first holder of all looks at the instances before it acts. The list lags, so a platform
-// that has just come up shows instances late, and no row tells of them.
-const firstWait = 10 * time.Second
+// initialListWait is how long a holder that finds no stored row waits before it acts. The instance list lags, so a new
+// platform shows its instances late, and there is no row that records them.
+const initialListWait = 10 * time.Second
 
-// listedTime is how long an instance that the successor read itself counts although the list that nodes share, which
-// lags more, has not shown it yet.
-const listedTime = time.Minute
+// listedTimeout is how long an instance that this node read at the start of its term counts although the list shared by
+// the nodes, which lags more, does not show it yet.
+const listedTimeout = time.Minute
 
-// servers returns the backend servers in the order of their names.
+// servers returns the known backend servers and those that only this node's own read of the instance list showed.
 func (t *term) servers() []Server {
 	out := slices.Clone(t.f.Servers())
 	known := make(map[string]bool, len(out))
 	for _, s := range out {
 		known[s.ID] = true
 	}
-	late := time.Since(t.listedAt) >= listedTime
+	expired := time.Since(t.listedAt) >= listedTimeout
 	t.listed = slices.DeleteFunc(t.listed, func(i platform.Instance) bool {
-		return late || known[i.ID] || i.Kind == platform.EntryNode
+		return expired || known[i.ID] || i.Kind == platform.EntryNode
 	})
 	for _, i := range t.listed {
 		out = append(out, Server{Instance: i})
@@ -201,8 +201,8 @@
 	return out
 }
 
-// report shows the state of the term.
-func (t *term) report() {
+// updateStatus publishes the state of the term as the Fleet's status.
+func (t *term) updateStatus() {
 	if !t.verified {
 		return
 	}
@@ -221,8 +221,8 @@
 	t.f.setStatus(s)
 }
 
-// note logs a decision and keeps it for the status.
-func (t *term) note(fields logrus.Fields, message, reason string) {
+// recordDecision logs a decision and adds it to Status.Recent.
+func (t *term) recordDecision(fields logrus.Fields, message, reason string) {
 	t.log.WithFields(fields).WithField("reason", reason).Info(message)
 	line := time.Now().UTC().Format(time.RFC3339) + " " + message
 	for _, key := range []string{"backend_group", "failure_domain", "instance", "model"} {
@@ -231,5 +231,5 @@
 		}
 	}
 	t.recent = append(t.recent, line+": "+reason)
-	t.recent = t.recent[max(0, len(t.recent)-keptReasons):]
+	t.recent = t.recent[max(0, len(t.recent)-maxRecentDecisions):]
 }
