--- a/internal/replica/attach.go
+++ b/internal/replica/attach.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// fetchTimeout bounds one request for progress; it includes the peer's wait.
+	// fetchTimeout bounds one request for progress, including the time for which the peer waits for new tokens.
 	fetchTimeout = fetchWait + time.Second
-	// findTries is how many nodes are asked for a response whose home has gone.
-	findTries = 8
-	// refindInterval is the wait between searches after the node that ran a response was lost.
-	refindInterval = 200 * time.Millisecond
-	// refindLimit is how long a mirror searches; it covers the time in which a dead home is detected.
-	refindLimit = 15 * time.Second
+	// maxFindNodes bounds the nodes of each kind that are queried for a response whose home node cannot be reached.
+	maxFindNodes = 8
+	// findRetryInterval is the wait between searches after the node that ran a response has become unreachable.
+	findRetryInterval = 200 * time.Millisecond
+	// findRetryTimeout is how long a mirror keeps searching; it covers the time to detect a dead home node.
+	findRetryTimeout = 15 * time.Second
 )
 
-// errNotFound means that no asked node has the response.
+// errNotFound means that no queried node has the response.
 var errNotFound = errors.New("replica: response not found")
 
-// mirror is a copy of a response that runs on another node, shared by the readers on this node.
+// mirror is a local copy of a response that runs on another node, shared by the readers on this node.
 type mirror struct {
 	log     *stream.Log
 	readers int
 	cancel  context.CancelFunc
 }
 
-// Attach returns the log of a workspace's response. A response that runs on another node is followed by a mirror
-// until release is called.
+// Attach returns the log of a workspace's response. If the response runs on another node, a mirror follows it until all
+// readers have called release.
 func (r *Replicator) Attach(ctx context.Context, workspace, id string) (log *stream.Log, release func(), err error) {
 	if log := r.Logs.Get(id); log != nil && log.Meta().Workspace == workspace {
 		meta := log.Meta()
@@ -100,21 +100,22 @@
 	return log, sync.OnceFunc(func() { r.leaveMirror(id, m) })
 }
 
-// follow copies the progress of a response until it ends. When its node is lost, it looks for the successor.
+// follow copies the progress of a response into the mirror until it ends. When its home node is lost, follow searches
+// for the new one.
 func (r *Replicator) follow(ctx context.Context, m *mirror, source membership.Member) {
 	id, workspace := m.log.Meta().ID, m.log.Meta().Workspace
-	lostSince := time.Time{}
+	unreachableSince := time.Time{}
 	for ctx.Err() == nil && !m.log.End().Finished {
 		state, err := r.fetchFrom(ctx, source, workspace, id, m.log.Len(), false)
 		if err == nil && state.Home {
-			lostSince = time.Time{}
+			unreachableSince = time.Time{}
 			_ = m.log.Apply(state.Progress, time.Now())
 			continue
 		}
-		if lostSince.IsZero() {
-			lostSince = time.Now()
+		if unreachableSince.IsZero() {
+			unreachableSince = time.Now()
 		}
-		if time.Since(lostSince) > refindLimit {
+		if time.Since(unreachableSince) > findRetryTimeout {
 			_ = m.log.Finish(m.log.Attempt(), "", code.UnknownResponse, time.Now())
 			return
 		}
@@ -123,21 +124,21 @@
 			_ = m.log.Apply(state.Progress, time.Now())
 			continue
 		}
-		clock.Sleep(ctx, refindInterval)
+		clock.Sleep(ctx, findRetryInterval)
 	}
 }
 
-// find returns the node that runs a response or has all of it. When the home has gone, a replica takes over.
+// find returns the node that runs a response or has all of it. If the home node is gone, a replica takes over.
 func (r *Replicator) find(ctx context.Context, workspace, id string, offset uint32) (membership.Member, *pb.StreamState, error) {
 	home, known := r.Member(HomeOf(id))
 	if known && reachable(home) && home.Node != r.Self.Node {
 		if state, err := r.fetchFrom(ctx, home, workspace, id, offset, false); err == nil {
-			return r.followHome(ctx, home, state, workspace, id, offset)
+			return r.resolveHome(ctx, home, state, workspace, id, offset)
 		}
 	}
-	for _, peer := range r.holders(id, membership.Member{Node: HomeOf(id), FailureDomain: home.FailureDomain}) {
+	for _, peer := range r.possibleReplicas(id, membership.Member{Node: HomeOf(id), FailureDomain: home.FailureDomain}) {
 		if peer.Node == r.Self.Node {
-			if state := r.takeOverHere(workspace, id, offset); state != nil {
+			if state := r.takeOverLocally(workspace, id, offset); state != nil {
 				return r.Self, state, nil
 			}
 			continue
@@ -146,37 +147,38 @@
 		if err != nil {
 			continue
 		}
-		return r.followHome(ctx, peer, state, workspace, id, offset)
+		return r.resolveHome(ctx, peer, state, workspace, id, offset)
 	}
 	if HomeOf(id) == r.Self.Node {
-		// This node has handed the response over, and its new home is lost without a replica.
-		if state := r.takeOverHere(workspace, id, offset); state != nil {
+		// This node has handed the response over, and the new home node was lost without leaving a replica.
+		if state := r.takeOverLocally(workspace, id, offset); state != nil {
 			return r.Self, state, nil
 		}
 	}
 	return membership.Member{}, nil, errNotFound
 }
 
-// holders returns the nodes that may hold a copy of a response: those that may get a replica now, then those that
-// leave or are suspected, which may have got one before.
-func (r *Replicator) holders(id string, home membership.Member) []membership.Member {
-	out := r.candidates(id, home, findTries)
-	var others []membership.Member
+// possibleReplicas returns the nodes that may hold a replica of a response: those eligible for one now, then those that
+// are leaving or suspected, which may have received one earlier.
+func (r *Replicator) possibleReplicas(id string, home membership.Member) []membership.Member {
+	out := r.candidates(id, home, maxFindNodes)
+	var former []membership.Member
 	for _, member := range r.Members() {
 		if reachable(member) && member.Status != pb.MemberState_ALIVE && member.Node != home.Node {
-			others = append(others, member)
+			former = append(former, member)
 		}
 	}
-	return append(out, membership.Rendezvous(id, others, findTries)...)
+	return append(out, membership.Rendezvous(id, former, maxFindNodes)...)
 }
 
-// reachable tells whether a node may still answer for its responses; a leaving one does.
+// reachable reports whether a node may still serve its responses; a leaving one does.
 func reachable(m membership.Member) bool {
 	return m.Status == pb.MemberState_ALIVE || m.Status == pb.MemberState_LEAVING || m.Status == pb.MemberState_SUSPECT
 }
 
-// followHome goes from a node that has a copy to the one that runs the response, or makes the copy's holder run it.
-func (r *Replicator) followHome(ctx context.Context, peer membership.Member, state *pb.StreamState, workspace, id string,
+// resolveHome returns the node that runs a response, given a peer that has a copy of it. If the response's home node
+// cannot serve it, the peer takes over.
+func (r *Replicator) resolveHome(ctx context.Context, peer membership.Member, state *pb.StreamState, workspace, id string,
 	offset uint32) (membership.Member, *pb.StreamState, error) {
 	if state.Home || state.Progress.GetFinished() {
 		return peer, state, nil
@@ -190,8 +192,8 @@
 	return peer, state, err
 }
 
-// takeOverHere makes this node the home of a response it holds the replica of.
-func (r *Replicator) takeOverHere(workspace, id string, offset uint32) *pb.StreamState {
+// takeOverLocally makes this node the home of a response of which it holds a replica. It returns nil if it holds none.
+func (r *Replicator) takeOverLocally(workspace, id string, offset uint32) *pb.StreamState {
 	message := &pb.StreamFetch{ResponseId: id, Workspace: workspace, Offset: offset, TakeOver: true}
 	state := r.fetch(context.Background(), message).GetStreamState()
 	if !state.Found {
@@ -204,44 +206,45 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	message := &pb.StreamFetch{ResponseId: id, Workspace: workspace, Offset: offset, TakeOver: takeOver}
-	answer, err := r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: &pb.Envelope_StreamFetch{StreamFetch: message}})
+	reply, err := r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: &pb.Envelope_StreamFetch{StreamFetch: message}})
 	if err != nil {
 		return nil, err
 	}
-	state := answer.GetStreamState()
+	state := reply.GetStreamState()
 	if state == nil || !state.Found {
 		return nil, errNotFound
 	}
 	return state, nil
 }
 
-// Handover makes another node the home of a response that runs here, and reports whether one took it. The local log
-// becomes that of a replica; its readers follow the new home.
+// Handover makes another node the home of a response that runs here, and reports whether one accepted it. The local log
+// becomes a replica, which follows the new home for the sake of its local readers.
 //
-// keepKV is called before the progress is sent, so that the new home can continue without a recompute.
-func (r *Replicator) Handover(ctx context.Context, log *stream.Log, keepKV func(context.Context) string, stop func()) bool {
+// retainKV retains the KV cache on the server and returns its handle. It is called before the progress is sent, so that
+// the new home can continue without recomputing. stop ends the local run once a node has accepted the response.
+func (r *Replicator) Handover(ctx context.Context, log *stream.Log, retainKV func(context.Context) string, stop func()) bool {
 	meta := log.Meta()
-	peers := r.answering(meta.ID, "")
+	peers := r.responsiveCandidates(meta.ID, "")
 	if len(peers) == 0 || meta.Home != r.Self.Node {
-		return false // the caller asks again soon; each copy of a KV cache costs the server memory and time
+		return false // the caller retries soon, and each KV cache copy costs the server memory and time
 	}
-	kv := keepKV(ctx)
+	kv := retainKV(ctx)
 	for _, peer := range peers {
-		// The new home begins its attempt after this progress; tokens that arrive here meanwhile are generated again
-		// there and dropped by their offset.
+		// The new home starts its attempt after this progress. Tokens that arrive here in the meantime are generated
+		// again there, and the log drops the duplicates by their offset.
 		message := &pb.StreamHandover{Open: log.Open(), Progress: log.Progress(0), Kv: kv}
 		message.Open.Home = peer.Node
-		ctx, cancel := context.WithTimeout(ctx, openTries*openTimeout+openTimeout)
-		err := r.acknowledged(r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: &pb.Envelope_StreamHandover{StreamHandover: message}}))
+		ctx, cancel := context.WithTimeout(ctx, maxOpenAttempts*openTimeout+openTimeout)
+		err := r.checkAck(r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: &pb.Envelope_StreamHandover{StreamHandover: message}}))
 		cancel()
-		r.setSilent(peer.Node, err != nil)
+		r.setUnresponsive(peer.Node, err != nil)
 		if err != nil {
 			r.Metrics.Retry("handover")
 			continue
 		}
 		stop()
 		log.SetHome(peer.Node)
-		r.forget(meta.ID)
+		r.removeReplica(meta.ID)
 		go r.followLocal(log, peer)
 		r.Metrics.Add("responses_handed_over", 1)
 		return true
@@ -249,7 +252,7 @@
 	return false
 }
 
-// followLocal copies the progress of the new home into the local log, whose readers are callers of this node.
+// followLocal copies the new home's progress into the local log, which callers of this node still read.
 func (r *Replicator) followLocal(log *stream.Log, source membership.Member) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -34,13 +34,13 @@
 	testNodes   = 4
 	testServers = 6
 	testTokens  = 300
-	testStep    = 10 * time.Millisecond // time of one token
-	// detection is how long the others take to see that a node is dead.
-	detection = 5 * time.Second
-	workspace = "council"
+	testStep    = 10 * time.Millisecond // time per token
+	// detectionTime is how long the other nodes take to detect that a node is dead.
+	detectionTime = 5 * time.Second
+	workspace     = "council"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict. Another one is set by -rapid.seed.
+// TestMain fixes the seed of rapid, so that runs are reproducible. -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -50,8 +50,8 @@
 
 var errLinkDown = errors.New("test: no answer")
 
-// world is a cluster of fakes: nodes that hold real replicators and runners, and servers that generate "t0 t1 ...".
-type world struct {
+// testCluster has nodes with real replicators and runners, and fake servers that generate "t0 t1 ...".
+type testCluster struct {
 	mu      sync.Mutex
 	nodes   []*testNode
 	servers map[string]*testServer
@@ -66,22 +66,22 @@
 	router *route.Router
 }
 
-// testServer is a fake engine. down, frozen and up are ended by closing changed.
+// testServer is a fake engine. changed is closed at each change of its state.
 type testServer struct {
-	state   string // "", down or frozen
+	state   string // "" for up, down or frozen
 	changed chan struct{}
 }
 
-func newWorld(t testing.TB, progressFirst bool) *world {
-	w := &world{servers: map[string]*testServer{}, ended: make(chan struct{})}
+func newTestCluster(t testing.TB, progressFirst bool) *testCluster {
+	tc := &testCluster{servers: map[string]*testServer{}, ended: make(chan struct{})}
 	for i := range testServers {
-		w.servers[fmt.Sprintf("server-%d", i)] = &testServer{changed: make(chan struct{})}
+		tc.servers[fmt.Sprintf("server-%d", i)] = &testServer{changed: make(chan struct{})}
 	}
 	index := testIndex(t, progressFirst)
 	for i := range testNodes {
-		w.nodes = append(w.nodes, w.newNode(i, index))
+		tc.nodes = append(tc.nodes, tc.newNode(i, index))
 	}
-	return w
+	return tc
 }
 
 func testIndex(t testing.TB, progressFirst bool) *config.Index {
@@ -95,32 +95,32 @@
 	return config.NewIndex(&pb.Snapshot{Merged: merged})
 }
 
-func (w *world) newNode(i int, index *config.Index) *testNode {
+func (tc *testCluster) newNode(i int, index *config.Index) *testNode {
 	name := fmt.Sprintf("node-%d", i)
 	n := &testNode{member: membership.Member{Node: name, NodeAddr: name, FailureDomain: fmt.Sprintf("domain-%d", i), Status: pb.MemberState_ALIVE}}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	n.router = route.New(route.Options{Seed: uint64(i) + 1})
-	n.router.SetServers(w.routeServers(nil))
+	n.router.SetServers(tc.routeServers(nil))
 	set := metrics.NewSet()
 	n.runner = generate.NewRunner(generate.Options{
 		Router:   n.router,
-		Engine:   &testEngine{world: w},
-		Budget:   free{},
-		Strikes:  free{},
-		Limits:   free{},
-		Health:   health{},
-		Progress: progressOf{n},
+		Engine:   &testEngine{cluster: tc},
+		Budget:   unlimited{},
+		Strikes:  unlimited{},
+		Limits:   unlimited{},
+		Health:   noopHealth{},
+		Progress: replicatorProgress{n},
 		Config:   func() *config.Index { return index },
 		Metrics:  set,
 		Log:      logrus.NewEntry(logger),
 	})
 	n.Replicator = New(Options{
 		Self:      n.member,
-		Live:      w.live,
-		Members:   w.members,
-		Member:    w.memberOf,
-		Transport: &testTransport{world: w, from: n},
+		Live:      tc.live,
+		Members:   tc.members,
+		Member:    tc.memberOf,
+		Transport: &testTransport{cluster: tc, from: n},
 		Logs:      stream.NewStore(),
 		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWith(log, kv, func() {}) },
 		Metrics:   set,
@@ -129,32 +129,32 @@
 	return n
 }
 
-type progressOf struct{ node *testNode }
+type replicatorProgress struct{ node *testNode }
 
-func (p progressOf) Changed(log *stream.Log) { p.node.Replicator.Changed(log) }
+func (p replicatorProgress) Changed(log *stream.Log) { p.node.Replicator.Changed(log) }
 
-func (p progressOf) Confirm(ctx context.Context, log *stream.Log, attempt, offset uint32, tokens []string) {
+func (p replicatorProgress) Confirm(ctx context.Context, log *stream.Log, attempt, offset uint32, tokens []string) {
 	p.node.Replicator.Confirm(ctx, log, attempt, offset, tokens)
 }
 
-// free grants everything.
-type free struct{}
+// unlimited grants everything.
+type unlimited struct{}
 
-// health accepts every report.
-type health struct{}
+// noopHealth ignores every report.
+type noopHealth struct{}
 
-func (health) Observe(string, bool) {}
+func (noopHealth) Observe(string, bool) {}
 
-func (free) Wait(ctx context.Context) error             { return ctx.Err() }
-func (free) Acquire(string) bool                        { return false }
-func (free) Observe(string, time.Duration)              {}
-func (free) Release(string)                             {}
-func (free) State(string) (strike.State, time.Duration) { return strike.Clear, 0 }
-func (free) Begin(*route.Server, string) (func(strike.Outcome), bool) {
+func (unlimited) Wait(ctx context.Context) error             { return ctx.Err() }
+func (unlimited) Acquire(string) bool                        { return false }
+func (unlimited) Observe(string, time.Duration)              {}
+func (unlimited) Release(string)                             {}
+func (unlimited) State(string) (strike.State, time.Duration) { return strike.Clear, 0 }
+func (unlimited) Begin(*route.Server, string) (func(strike.Outcome), bool) {
 	return func(strike.Outcome) {}, true
 }
 
-func (w *world) routeServers(leaving map[string]bool) []route.Server {
+func (tc *testCluster) routeServers(leaving map[string]bool) []route.Server {
 	var out []route.Server
 	for i := range testServers {
 		name := fmt.Sprintf("server-%d", i)
@@ -164,21 +164,21 @@
 	return out
 }
 
-func (w *world) members() []membership.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) members() []membership.Member {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	var out []membership.Member
-	for _, n := range w.nodes {
+	for _, n := range tc.nodes {
 		out = append(out, n.member)
 	}
 	return out
 }
 
-func (w *world) live() []membership.Member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) live() []membership.Member {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	var out []membership.Member
-	for _, n := range w.nodes {
+	for _, n := range tc.nodes {
 		if n.member.Status == pb.MemberState_ALIVE {
 			out = append(out, n.member)
 		}
@@ -186,10 +186,10 @@
 	return out
 }
 
-func (w *world) memberOf(node string) (membership.Member, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, n := range w.nodes {
+func (tc *testCluster) memberOf(node string) (membership.Member, bool) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	for _, n := range tc.nodes {
 		if n.member.Node == node {
 			return n.member, true
 		}
@@ -197,96 +197,96 @@
 	return membership.Member{}, false
 }
 
-func (w *world) setStatus(status pb.MemberState_Status, nodes ...int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) setStatus(status pb.MemberState_Status, nodes ...int) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	for _, i := range nodes {
-		w.nodes[i].member.Status = status
+		tc.nodes[i].member.Status = status
 	}
 }
 
-func (w *world) isDead(n *testNode) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) isDead(n *testNode) bool {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	return n.dead
 }
 
-// kill stops a node at once; the others see it only after the detection time.
-func (w *world) kill(i int) {
-	n := w.nodes[i]
-	w.mu.Lock()
+// kill stops a node at once; the others detect it only after detectionTime.
+func (tc *testCluster) kill(i int) {
+	n := tc.nodes[i]
+	tc.mu.Lock()
 	n.dead = true
-	w.mu.Unlock()
+	tc.mu.Unlock()
 	n.Logs.Each(func(log *stream.Log) { n.runner.Stop(log.Meta().ID) })
-	time.AfterFunc(detection, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+	time.AfterFunc(detectionTime, func() {
+		tc.mu.Lock()
+		defer tc.mu.Unlock()
 		n.member.Status = pb.MemberState_DEAD
 	})
 }
 
 // setServer changes the state of a server: "" for up, down or frozen.
-func (w *world) setServer(name, state string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.servers[name]
+func (tc *testCluster) setServer(name, state string) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	s := tc.servers[name]
 	s.state = state
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (w *world) server(name string) (state string, changed chan struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.servers[name].state, w.servers[name].changed
+func (tc *testCluster) server(name string) (state string, changed chan struct{}) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return tc.servers[name].state, tc.servers[name].changed
 }
 
-// reclaim gives a server notice and switches it off at its end.
-func (w *world) reclaim(name string, notice time.Duration) {
+// reclaim gives notice that a server will be reclaimed and stops it when the notice ends.
+func (tc *testCluster) reclaim(name string, notice time.Duration) {
 	deadline := time.Now().Add(notice)
-	for _, n := range w.nodes {
-		n.router.SetServers(w.routeServers(map[string]bool{name: true}))
+	for _, n := range tc.nodes {
+		n.router.SetServers(tc.routeServers(map[string]bool{name: true}))
 		go n.runner.ServerLeaving(context.Background(), name, deadline)
 	}
-	time.AfterFunc(notice, func() { w.setServer(name, "down") })
+	time.AfterFunc(notice, func() { tc.setServer(name, "down") })
 }
 
-// testTransport carries messages within a millisecond. A dead node neither sends nor answers.
+// testTransport delivers messages within a millisecond. A dead node neither sends nor replies.
 type testTransport struct {
-	world *world
-	from  *testNode
+	cluster *testCluster
+	from    *testNode
 }
 
 func (t *testTransport) Request(ctx context.Context, addr string, env *pb.Envelope) (*pb.Envelope, error) {
 	time.Sleep(time.Millisecond)
-	for _, n := range t.world.nodes {
+	for _, n := range t.cluster.nodes {
 		if n.member.NodeAddr != addr {
 			continue
 		}
-		if t.world.isDead(n) || t.world.isDead(t.from) {
+		if t.cluster.isDead(n) || t.cluster.isDead(t.from) {
 			<-ctx.Done()
 			return nil, errLinkDown
 		}
-		answer := n.Handle(ctx, t.from.member.Node, env)
-		if t.world.isDead(n) {
+		reply := n.Handle(ctx, t.from.member.Node, env)
+		if t.cluster.isDead(n) {
 			return nil, errLinkDown
 		}
-		return answer, nil
+		return reply, nil
 	}
 	return nil, errLinkDown
 }
 
-// testEngine runs requests on the fake servers of the world.
+// testEngine runs requests on the fake servers of the cluster.
 type testEngine struct {
 	backend.Engine
-	world *world
+	cluster *testCluster
 }
 
-// Generate repeats the last resumed token in its first chunk, as an engine may whose answer overlaps with that of another.
+// Generate repeats the last resumed token in its first chunk, like an engine whose output overlaps with the log.
 func (e *testEngine) Generate(ctx context.Context, addr string, req backend.GenerateRequest, emit func(backend.Chunk) error) error {
 	first := uint32(max(0, len(req.Resume)-1))
 	for i := first; ; i++ {
-		state, changed := e.world.server(addr)
+		state, changed := e.cluster.server(addr)
 		if state == "down" {
 			if i == first {
 				return backend.ErrUnreachable
@@ -327,7 +327,7 @@
 
 func testToken(i uint32) string { return "t" + strconv.Itoa(int(i)) + " " }
 
-func expected() string {
+func expectedText() string {
 	var b strings.Builder
 	for i := range uint32(testTokens) {
 		b.WriteString(testToken(i))
@@ -335,9 +335,9 @@
 	return b.String()
 }
 
-// accept accepts a request on a node, as the node's front does.
-func (w *world) accept(i int, id string) error {
-	n := w.nodes[i]
+// accept accepts a request on a node, as the gateway of an entry node does.
+func (tc *testCluster) accept(i int, id string) error {
+	n := tc.nodes[i]
 	meta := stream.Meta{ID: NewID(n.member.Node, id), Workspace: workspace, Home: n.member.Node, Path: "/v1/completions",
 		Request: []byte(fmt.Sprintf(`{"model":"m","prompt":"p","stream":true,"max_tokens":%d}`, testTokens)), Created: time.Now()}
 	log := n.Logs.Add(stream.NewLog(meta, time.Now()))
@@ -347,14 +347,14 @@
 	return n.runner.Run(log, func() {})
 }
 
-// caller reads a response like a client: when its node dies it resumes on the next one.
+// caller reads a response like a client: when its node dies, it resumes on the next one.
 type caller struct {
-	world  *world
-	id     string
-	node   int
-	offset uint32
-	text   strings.Builder
-	notes  []string
+	cluster *testCluster
+	id      string
+	node    int
+	offset  uint32
+	text    strings.Builder
+	events  []string
 }
 
 // read returns when the response is complete, or with an error after the limit.
@@ -362,12 +362,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	for ctx.Err() == nil {
-		done, err := c.readAt(ctx, c.world.nodes[c.node])
+		done, err := c.readAt(ctx, c.cluster.nodes[c.node])
 		if done || err != nil {
 			return err
 		}
 		c.node = (c.node + 1) % testNodes
-		c.notes = append(c.notes, fmt.Sprintf("resume on node-%d", c.node))
+		c.events = append(c.events, fmt.Sprintf("resume on node-%d", c.node))
 		time.Sleep(100 * time.Millisecond)
 	}
 	return fmt.Errorf("not complete after %v: %d tokens", limit, c.offset)
@@ -375,18 +375,18 @@
 
 // readAt reads on one node until the response ends or the node dies.
 func (c *caller) readAt(ctx context.Context, n *testNode) (done bool, err error) {
-	if c.world.isDead(n) {
+	if c.cluster.isDead(n) {
 		return false, nil
 	}
 	log, release, err := n.Attach(ctx, workspace, c.id)
 	if err != nil {
-		return false, nil // the next node may know it
+		return false, nil // the next node may find it
 	}
 	defer release()
 	changes, cancel := log.Subscribe()
 	defer cancel()
 	for {
-		if c.world.isDead(n) {
+		if c.cluster.isDead(n) {
 			return false, nil
 		}
 		next, end := log.Read(c.offset, func(_ uint32, token []byte) { c.text.Write(token) })
@@ -406,29 +406,30 @@
 	}
 }
 
-func (w *world) start() (stop func()) {
+func (tc *testCluster) start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	for _, n := range w.nodes {
+	for _, n := range tc.nodes {
 		go n.Run(ctx)
 	}
 	return func() {
 		cancel()
-		for _, n := range w.nodes {
+		for _, n := range tc.nodes {
 			n.Logs.Each(func(log *stream.Log) { n.runner.Stop(log.Meta().ID) })
 		}
-		time.Sleep(time.Minute) // ends what still waits
+		time.Sleep(time.Minute) // lets remaining goroutines end
 	}
 }
 
-// Guards against an accepted answer that is lost, cut, repeated or out of order, under random schedules of crashed,
-// frozen and reclaimed servers and of killed nodes. A failing schedule is printed and replays by its seed.
-func TestAcceptedAnswersAreWholeUnderRandomFaults(t *testing.T) {
+// Guards against an accepted response whose tokens are lost, truncated, repeated or reordered under random schedules of
+// crashed, frozen and reclaimed servers and of killed nodes. A failing schedule is printed and can be replayed by its
+// seed.
+func TestAcceptedResponsesAreCompleteUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 6).Draw(rt, "faults")
 		synctest.Test(t, func(*testing.T) {
-			w := newWorld(t, false)
-			defer w.start()()
-			if err := w.play(faults); err != nil {
+			tc := newTestCluster(t, false)
+			defer tc.start()()
+			if err := tc.runSchedule(faults); err != nil {
 				rt.Errorf("%v", err)
 			}
 		})
@@ -450,26 +451,26 @@
 	}
 }
 
-// play runs three responses of each node against a schedule and checks every answer.
-func (w *world) play(faults []fault) error {
+// runSchedule runs one response on each node under a fault schedule and checks every response.
+func (tc *testCluster) runSchedule(faults []fault) error {
 	var callers []*caller
-	for i := range w.nodes {
-		if err := w.accept(i, "a"); err != nil {
+	for i := range tc.nodes {
+		if err := tc.accept(i, "a"); err != nil {
 			return err
 		}
-		callers = append(callers, &caller{world: w, id: NewID(w.nodes[i].member.Node, "a"), node: i})
+		callers = append(callers, &caller{cluster: tc, id: NewID(tc.nodes[i].member.Node, "a"), node: i})
 	}
 	results := make(chan error, len(callers))
 	for _, c := range callers {
 		go func() {
 			err := c.read(2 * time.Minute)
-			if err == nil && c.text.String() != expected() {
-				err = fmt.Errorf("%s: the answer differs from the fault-free one", c.id)
+			if err == nil && c.text.String() != expectedText() {
+				err = fmt.Errorf("%s: the response differs from the fault-free one", c.id)
 			}
 			results <- err
 		}()
 	}
-	w.inject(faults)
+	tc.inject(faults)
 	var err error
 	for range callers {
 		err = errors.Join(err, <-results)
@@ -477,66 +478,66 @@
 	return err
 }
 
-// inject applies the faults. One node is killed at most, since the promise covers the loss of one of the two nodes
-// that hold a log; a server comes back after 300 ms, so that some are always up.
-func (w *world) inject(faults []fault) {
+// inject applies the faults. It kills at most one node, since the guarantee covers the loss of one of the two nodes that
+// hold a log. A server recovers after 800 ms, so that some servers remain available.
+func (tc *testCluster) inject(faults []fault) {
 	killed := false
 	for _, f := range faults {
 		time.Sleep(f.After)
 		name := fmt.Sprintf("server-%d", f.Target)
 		switch f.Kind {
 		case "crash":
-			w.setServer(name, "down")
+			tc.setServer(name, "down")
 		case "freeze":
-			w.setServer(name, "frozen")
+			tc.setServer(name, "frozen")
 		case "reclaim":
-			w.reclaim(name, 500*time.Millisecond)
+			tc.reclaim(name, 500*time.Millisecond)
 		case "kill":
 			if !killed {
 				killed = true
-				w.kill(f.Target % testNodes)
+				tc.kill(f.Target % testNodes)
 			}
 			continue
 		}
-		time.AfterFunc(800*time.Millisecond, func() { w.setServer(name, "") })
+		time.AfterFunc(800*time.Millisecond, func() { tc.setServer(name, "") })
 	}
 }
 
-// Guards against a change of the order of events when a node dies while a server is reclaimed: one golden session.
-func TestSessionOfADyingHome(t *testing.T) {
+// Guards against a changed sequence of events when the home node dies while servers are reclaimed, by a golden file.
+func TestHomeNodeFailureDuringReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, false)
-		defer w.start()()
-		assert.NilError(t, w.accept(0, "a"))
-		c := &caller{world: w, id: NewID("node-0", "a")}
+		tc := newTestCluster(t, false)
+		defer tc.start()()
+		assert.NilError(t, tc.accept(0, "a"))
+		c := &caller{cluster: tc, id: NewID("node-0", "a")}
 		time.AfterFunc(time.Second, func() {
 			for i := range testServers / 2 {
-				w.reclaim(fmt.Sprintf("server-%d", i), 300*time.Millisecond)
+				tc.reclaim(fmt.Sprintf("server-%d", i), 300*time.Millisecond)
 			}
 		})
-		time.AfterFunc(1500*time.Millisecond, func() { w.kill(0) })
+		time.AfterFunc(1500*time.Millisecond, func() { tc.kill(0) })
 		assert.NilError(t, c.read(time.Minute))
-		c.notes = append(c.notes, fmt.Sprintf("complete: %d tokens, exact: %v", c.offset, c.text.String() == expected()))
-		golden.Assert(t, strings.Join(c.notes, "\n")+"\n", "dying-home.golden")
+		c.events = append(c.events, fmt.Sprintf("complete: %d tokens, exact: %v", c.offset, c.text.String() == expectedText()))
+		golden.Assert(t, strings.Join(c.events, "\n")+"\n", "dying-home.golden")
 	})
 }
 
-// Guards against an answer that jumps at a takeover when the engine is not deterministic: with
-// progress_before_delivery the replica has every token that the caller has seen.
+// Guards against a response that is inconsistent after a takeover when the engine is not deterministic: with
+// progress_before_delivery, the replica has every token that the caller has seen.
 func TestReplicaHasEveryDeliveredToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, true)
-		defer w.start()()
-		assert.NilError(t, w.accept(0, "a"))
+		tc := newTestCluster(t, true)
+		defer tc.start()()
+		assert.NilError(t, tc.accept(0, "a"))
 		id := NewID("node-0", "a")
-		replicaNode := w.nodes[0].candidates(id, w.nodes[0].Self, 1)[0].Node
-		home := w.nodes[0].Logs.Get(id)
+		replicaNode := tc.nodes[0].candidates(id, tc.nodes[0].Self, 1)[0].Node
+		home := tc.nodes[0].Logs.Get(id)
 		changes, cancel := home.Subscribe()
 		defer cancel()
 		for home.Len() < testTokens/2 {
 			<-changes
 			delivered := home.Len()
-			for _, n := range w.nodes {
+			for _, n := range tc.nodes {
 				if n.member.Node == replicaNode {
 					assert.Assert(t, n.Logs.Get(id).Len() >= delivered, "the replica has fewer tokens than the caller")
 				}
@@ -545,40 +546,40 @@
 	})
 }
 
-// Guards against KV caches that are copied again and again, as a leaving node retries, when no node can take the response
-// or one has it already.
-func TestHandoverCopiesNoKVCacheForNothing(t *testing.T) {
+// Guards against KV caches that are copied on each retry of a leaving node although no node can accept the response or
+// one has accepted it already.
+func TestHandoverAvoidsUnneededKVCacheCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, false)
-		defer w.start()()
-		assert.NilError(t, w.accept(0, "a"))
-		n, copies := w.nodes[0], 0
+		tc := newTestCluster(t, false)
+		defer tc.start()()
+		assert.NilError(t, tc.accept(0, "a"))
+		n, copies := tc.nodes[0], 0
 		log := n.Logs.Get(NewID("node-0", "a"))
 		handover := func() bool {
-			keepKV := func(context.Context) string { copies++; return "" }
-			return n.Handover(t.Context(), log, keepKV, func() { n.runner.Stop(log.Meta().ID) })
+			retainKV := func(context.Context) string { copies++; return "" }
+			return n.Handover(t.Context(), log, retainKV, func() { n.runner.Stop(log.Meta().ID) })
 		}
-		w.setStatus(pb.MemberState_LEAVING, 1, 2, 3)
+		tc.setStatus(pb.MemberState_LEAVING, 1, 2, 3)
 		assert.Assert(t, !handover())
-		assert.Equal(t, copies, 0, "no node could take the response")
-		w.setStatus(pb.MemberState_ALIVE, 1, 2, 3)
+		assert.Equal(t, copies, 0, "no node could accept the response")
+		tc.setStatus(pb.MemberState_ALIVE, 1, 2, 3)
 		assert.Assert(t, handover())
-		assert.Assert(t, !handover(), "the response has another home already")
+		assert.Assert(t, !handover(), "the response already has another home")
 		assert.Equal(t, copies, 1)
 	})
 }
 
-// Guards against a response that another workspace can read, and against one that is found after its log has gone.
+// Guards against a response that another workspace can read, and against an unknown response that is found.
 func TestAttachRefusesOtherWorkspaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, false)
-		defer w.start()()
-		assert.NilError(t, w.accept(0, "a"))
-		for _, n := range w.nodes {
+		tc := newTestCluster(t, false)
+		defer tc.start()()
+		assert.NilError(t, tc.accept(0, "a"))
+		for _, n := range tc.nodes {
 			_, _, err := n.Attach(t.Context(), "shop", NewID("node-0", "a"))
 			assert.ErrorContains(t, err, "no live node holds this response")
 		}
-		_, _, err := w.nodes[2].Attach(t.Context(), workspace, NewID("node-0", "b"))
+		_, _, err := tc.nodes[2].Attach(t.Context(), workspace, NewID("node-0", "b"))
 		assert.ErrorContains(t, err, "no live node holds this response")
 	})
 }
--- a/internal/replica/leave.go
+++ b/internal/replica/leave.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// leaveInterval is how often replicas on nodes that leave are looked for. A node exits 2 s after it has announced
-	// that it leaves, so that its replicas must move at once.
-	leaveInterval = 200 * time.Millisecond
-	// movesAtOnce bounds the replicas and copies that are sent to other nodes at a time.
-	movesAtOnce = 64
+	// replicaCheckInterval is how often the home node checks for replicas on leaving nodes. A node exits 2 s after it
+	// has announced that it leaves, so its replicas must move promptly.
+	replicaCheckInterval = 200 * time.Millisecond
+	// maxParallelTransfers bounds the replicas that are sent to other nodes at the same time.
+	maxParallelTransfers = 64
 )
 
-// moveReplicas gives another replica to the logs whose replica is on a node that leaves or is gone. Without it, the
-// loss of the home right after the exit of the replica's node would lose the response.
+// moveReplicas opens new replicas for the logs whose replica is on a node that is leaving or gone. Otherwise the loss of
+// the home node right after the exit of the replica's node would lose the response.
 func (r *Replicator) moveReplicas(ctx context.Context) {
-	leaving := map[string]bool{} // by node that has replicas
+	leaving := map[string]bool{} // by node with replicas
 	moving := map[string]*replicaState{}
 	r.mu.Lock()
-	for id, state := range r.copies {
+	for id, state := range r.replicas {
 		node := state.peer.Node
 		if _, known := leaving[node]; !known {
 			member, ok := r.Member(node)
 			leaving[node] = !ok || member.Status != pb.MemberState_ALIVE && member.Status != pb.MemberState_SUSPECT
 		}
-		if leaving[node] && len(moving) < movesAtOnce {
+		if leaving[node] && len(moving) < maxParallelTransfers {
 			moving[id] = state
 		}
 	}
@@ -46,11 +46,11 @@
 	wg.Wait()
 }
 
-// PassOnCopies gives the copies of unfinished responses to nodes that stay, before this node exits. Homes that live have
-// moved their replicas already; the copy of a home that has died unnoticed would be the last one.
+// PassOnCopies copies the replicas of unfinished responses that this node holds to remaining nodes before it exits. Live
+// home nodes have moved their replicas already, but if a home node has died undetected, this replica is the last copy.
 func (r *Replicator) PassOnCopies(ctx context.Context) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, movesAtOnce)
+	slots := make(chan struct{}, maxParallelTransfers)
 	r.Logs.Each(func(log *stream.Log) {
 		if log.Meta().Home == r.Self.Node || log.End().Finished {
 			return
@@ -58,22 +58,22 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r.passOn(ctx, log)
+			r.transferReplica(ctx, log)
 		})
 	})
 	wg.Wait()
 }
 
-// passOn sends a copy to the first node that takes it.
-func (r *Replicator) passOn(ctx context.Context, log *stream.Log) {
+// transferReplica sends a replica to the first node that acknowledges it.
+func (r *Replicator) transferReplica(ctx context.Context, log *stream.Log) {
 	meta := log.Meta()
-	for _, peer := range r.answering(meta.ID, meta.Home) {
+	for _, peer := range r.responsiveCandidates(meta.ID, meta.Home) {
 		if r.openAt(ctx, peer, log) != nil {
 			continue
 		}
 		message := &pb.StreamAppend{Progress: []*pb.StreamProgress{log.Progress(0)}}
 		env := &pb.Envelope{Body: &pb.Envelope_StreamAppend{StreamAppend: message}}
-		if r.acknowledged(r.Transport.Request(ctx, peer.NodeAddr, env)) == nil {
+		if r.checkAck(r.Transport.Request(ctx, peer.NodeAddr, env)) == nil {
 			return
 		}
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,16 +1,16 @@
-// Package replica copies the logs of responses to a second node and finds responses for callers that resume.
+// Package replica replicates response logs to a second node and locates responses for callers that resume.
 //
 // # Design
 //
-// The home node copies an accepted request to one replica in another failure domain before the caller sees that it
-// was accepted. After that it sends progress in one message per replica every flushInterval; an acknowledged
-// message moves the offset from which the next one starts, so a lost message is repeated and the log drops what it
-// has. When the replica fails or leaves, the home node picks another one and sends it everything.
+// Before the caller learns that its request was accepted, the home node copies the request to a replica, in another
+// failure domain if there is one. It then sends progress every flushInterval, in one message per replica node. An
+// acknowledged message advances the offset at which the next one starts, so a lost message is repeated and the log
+// drops duplicates. When the replica's node fails or leaves, the home node picks another one and sends it everything.
 //
-// A response id names the home node. Any node can therefore find a response: it asks the home node, and when that is
-// gone the nodes that rendezvous hashing would choose as replica. The replica becomes the home when a caller
-// resumes and the old home is no longer live. It does not start by itself when the home dies: the caller that still
-// wants the answer asks for it, and an answer that nobody waits for is not recomputed.
+// A response id names the home node at the time of acceptance. Any node can therefore find a response: it queries that
+// node and, if it is gone, the nodes that rendezvous hashing would choose for the replica. A replica becomes the home
+// when a caller resumes and the previous home node is not live. It does not take over merely because the home node
+// dies: a caller that still wants the response resumes it, and a response that nobody waits for is not recomputed.
 package replica
 
 import (
@@ -34,61 +34,60 @@
 )
 
 const (
-	// flushInterval is how often progress is sent; a home node that dies loses at most this much of it.
+	// flushInterval is how often progress is sent; a crashed home node loses about this much of it.
 	flushInterval = 50 * time.Millisecond
-	// openTimeout bounds one try to open a replica. Nodes are a few milliseconds apart.
+	// openTimeout bounds one attempt to open a replica. Nodes are a few milliseconds apart.
 	openTimeout = 250 * time.Millisecond
-	// openTries is how many nodes are asked to be the replica.
-	openTries = 3
+	// maxOpenAttempts is how many nodes are asked to open a replica.
+	maxOpenAttempts = 3
 	// appendTimeout bounds one progress message.
 	appendTimeout = time.Second
-	// confirmTimeout bounds the delay of a token whose replica does not answer.
+	// confirmTimeout bounds how long a token is delayed by an unresponsive replica.
 	confirmTimeout = 100 * time.Millisecond
-	// silentMemory is how long a node that did not answer is asked last.
-	silentMemory = 3 * time.Second
-	// maxAppendFailures is how many messages in a row may fail before another replica is chosen.
+	// unresponsivePeriod is how long a node that failed to open a replica or accept a handover is not asked again.
+	unresponsivePeriod = 3 * time.Second
+	// maxAppendFailures is the number of consecutive failed messages after which another replica is chosen.
 	maxAppendFailures = 2
 )
 
-// errNotAcknowledged means that the peer answered with something else than success.
+// errNotAcknowledged means that the peer's reply was not a successful acknowledgement.
 var errNotAcknowledged = errors.New("replica: not acknowledged")
 
-// Requester sends a message to a node and returns its answer.
+// Requester sends a message to a node and returns its reply.
 type Requester interface {
 	Request(ctx context.Context, addr string, env *pb.Envelope) (*pb.Envelope, error)
 }
 
-// Options are the parts of a Replicator.
+// Options holds the dependencies of a Replicator.
 type Options struct {
 	Self membership.Member
 	// Live returns the live nodes, this one included.
 	Live func() []membership.Member
 	// Members returns all known nodes, this one and dead ones included.
 	Members func() []membership.Member
-	// Member returns what is known of a node.
+	// Member returns a node's membership entry, if it has one.
 	Member    func(node string) (membership.Member, bool)
 	Transport Requester
 	Logs      *stream.Store
-	// Run starts the attempts of a log whose home has become this node.
-	// The KV cache of its last attempt may wait under a handle on the log's server.
+	// Run runs a response whose home is this node. kv is the handle of its KV cache on the log's server, or "".
 	Run     func(log *stream.Log, kv string) error
 	Metrics *metrics.Set
 	Log     *logrus.Entry
 }
 
-// Replicator is the replication of one node.
+// Replicator replicates the logs of one node.
 type Replicator struct {
 	Options
-	wake chan struct{} // there is progress to send
+	wake chan struct{} // signals Run that there is progress to send
 
-	mu      sync.Mutex
-	copies  map[string]*replicaState
-	dirty   map[string]*stream.Log
-	mirrors map[string]*mirror
-	silent  map[string]time.Time // nodes that did not answer an open, and when
+	mu           sync.Mutex
+	replicas     map[string]*replicaState
+	dirty        map[string]*stream.Log
+	mirrors      map[string]*mirror
+	unresponsive map[string]time.Time // when nodes last failed to reply to an open or a handover
 }
 
-// replicaState is the replica of one log, as its home node knows it. Only the flush loop changes it after Open.
+// replicaState is the home node's view of the replica of one log. Only Run changes it after Open.
 type replicaState struct {
 	peer     membership.Member
 	sent     uint32 // offset up to which the replica has acknowledged
@@ -98,85 +97,85 @@
 // New returns a Replicator.
 func New(opts Options) *Replicator {
 	return &Replicator{
-		Options: opts,
-		wake:    make(chan struct{}, 1),
-		copies:  map[string]*replicaState{},
-		dirty:   map[string]*stream.Log{},
-		mirrors: map[string]*mirror{},
-		silent:  map[string]time.Time{},
+		Options:      opts,
+		wake:         make(chan struct{}, 1),
+		replicas:     map[string]*replicaState{},
+		dirty:        map[string]*stream.Log{},
+		mirrors:      map[string]*mirror{},
+		unresponsive: map[string]time.Time{},
 	}
 }
 
-// candidates returns the nodes that may hold the replica of a response of the given home: nodes of other failure
-// domains first, in rendezvous order of the id.
+// candidates returns up to n nodes that are eligible for the replica of a response with the given home: those in other
+// failure domains first, each group in rendezvous order of the id.
 func (r *Replicator) candidates(id string, home membership.Member, n int) []membership.Member {
-	var others, near []membership.Member
+	var otherDomains, sameDomain []membership.Member
 	for _, member := range r.Live() {
 		switch {
 		case member.Node == home.Node || member.Status != pb.MemberState_ALIVE:
 		case member.FailureDomain != home.FailureDomain:
-			others = append(others, member)
+			otherDomains = append(otherDomains, member)
 		default:
-			near = append(near, member)
+			sameDomain = append(sameDomain, member)
 		}
 	}
-	out := membership.Rendezvous(id, others, n)
+	out := membership.Rendezvous(id, otherDomains, n)
 	if len(out) < n {
-		out = append(out, membership.Rendezvous(id, near, n-len(out))...)
+		out = append(out, membership.Rendezvous(id, sameDomain, n-len(out))...)
 	}
 	return out
 }
 
-// Open copies an accepted request to a replica. When no other node answers, the response goes on without a replica,
-// since refusing it would help nobody; a counter shows it. When some did not answer and others were not asked, the
-// request is refused.
+// Open copies an accepted request to a replica. If there are fewer than maxOpenAttempts candidates and all fail, the
+// response continues without a replica, since refusing it would help nobody; the metric responses_without_replica
+// counts these. If maxOpenAttempts candidates fail, other nodes may remain, and the request is refused.
 func (r *Replicator) Open(ctx context.Context, log *stream.Log) error {
 	return r.openExcept(ctx, log, "")
 }
 
-// openExcept is Open without one node; "" leaves none out.
+// openExcept is like Open but skips one node; "" skips none.
 func (r *Replicator) openExcept(ctx context.Context, log *stream.Log, except string) error {
 	id := log.Meta().ID
-	candidates := r.answering(id, except)
+	candidates := r.responsiveCandidates(id, except)
 	for _, peer := range candidates {
 		if err := r.openAt(ctx, peer, log); err != nil {
 			r.Metrics.Retry("replica_open")
 			continue
 		}
 		r.mu.Lock()
-		r.copies[id] = &replicaState{peer: peer}
+		r.replicas[id] = &replicaState{peer: peer}
 		r.mu.Unlock()
-		r.signal() // from now on the replica's node is watched
+		r.signal() // Run starts to check the replica's node
 		return nil
 	}
-	if len(candidates) == openTries || ctx.Err() != nil {
+	if len(candidates) == maxOpenAttempts || ctx.Err() != nil {
 		return code.New(code.ReplicationUnavailable, "no second node took a copy of the request").After(time.Second)
 	}
 	r.Metrics.Add("responses_without_replica", 1)
 	return nil
 }
 
-// answering returns the first candidates, without the nodes that did not answer lately: the view of the members may
-// not show yet that they are gone, and each would delay the caller by openTimeout.
-func (r *Replicator) answering(id, except string) []membership.Member {
+// responsiveCandidates returns the first maxOpenAttempts candidates, without the nodes that recently failed to reply: the
+// membership view may not show yet that they are gone, and each would delay the caller by openTimeout.
+func (r *Replicator) responsiveCandidates(id, except string) []membership.Member {
 	now := time.Now()
 	r.mu.Lock()
-	silent := maps.Clone(r.silent)
+	unresponsive := maps.Clone(r.unresponsive)
 	r.mu.Unlock()
-	candidates := r.candidates(id, r.Self, openTries+1+len(silent))
+	candidates := r.candidates(id, r.Self, maxOpenAttempts+1+len(unresponsive))
 	candidates = slices.DeleteFunc(candidates, func(m membership.Member) bool {
-		return m.Node == except || now.Sub(silent[m.Node]) < silentMemory
+		return m.Node == except || now.Sub(unresponsive[m.Node]) < unresponsivePeriod
 	})
-	return candidates[:min(openTries, len(candidates))]
+	return candidates[:min(maxOpenAttempts, len(candidates))]
 }
 
-func (r *Replicator) setSilent(node string, silent bool) {
+func (r *Replicator) setUnresponsive(node string, unresponsive bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if silent {
-		r.silent[node] = time.Now()
+	if unresponsive {
+		r.unresponsive[node] = time.Now()
 	} else {
-		delete(r.silent, node)
+		delete(r.unresponsive, node)
 	}
 }
 
@@ -184,27 +183,27 @@
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	body := &pb.Envelope_StreamOpen{StreamOpen: log.Open()}
-	answer, err := r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: body})
-	r.setSilent(peer.Node, err != nil)
-	return r.acknowledged(answer, err)
+	reply, err := r.Transport.Request(ctx, peer.NodeAddr, &pb.Envelope{Body: body})
+	r.setUnresponsive(peer.Node, err != nil)
+	return r.checkAck(reply, err)
 }
 
-func (r *Replicator) acknowledged(answer *pb.Envelope, err error) error {
+func (r *Replicator) checkAck(reply *pb.Envelope, err error) error {
 	if err != nil {
 		return err
 	}
-	if ack := answer.GetAck(); ack == nil || ack.Code != 0 {
-		return fmt.Errorf("%w: %s", errNotAcknowledged, answer.GetAck().GetMessage())
+	if ack := reply.GetAck(); ack == nil || ack.Code != 0 {
+		return fmt.Errorf("%w: %s", errNotAcknowledged, reply.GetAck().GetMessage())
 	}
 	return nil
 }
 
-// Changed marks a log whose progress the replica does not have yet.
+// Changed marks a log as having progress that its replica lacks.
 func (r *Replicator) Changed(log *stream.Log) {
 	id := log.Meta().ID
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.copies[id]; !ok {
+	if _, ok := r.replicas[id]; !ok {
 		return
 	}
 	r.dirty[id] = log
@@ -212,12 +211,12 @@
 }
 
 // Confirm sends tokens to the replica before they are delivered to the caller, so that a takeover continues with
-// exactly what the caller has seen even when the engine is not deterministic. When the replica does not answer, the
-// tokens are delivered all the same: the flush loop looks for another replica.
+// exactly what the caller has seen even if the engine is not deterministic. If the replica does not acknowledge them,
+// the tokens are delivered all the same, and the flush loop chooses another replica after repeated failures.
 func (r *Replicator) Confirm(ctx context.Context, log *stream.Log, attempt, offset uint32, tokens []string) {
 	id := log.Meta().ID
 	r.mu.Lock()
-	state := r.copies[id]
+	state := r.replicas[id]
 	r.mu.Unlock()
 	if state == nil {
 		return
@@ -226,7 +225,7 @@
 	env := &pb.Envelope{Body: &pb.Envelope_StreamAppend{StreamAppend: &pb.StreamAppend{Progress: []*pb.StreamProgress{progress}}}}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if r.acknowledged(r.Transport.Request(ctx, state.peer.NodeAddr, env)) != nil {
+	if r.checkAck(r.Transport.Request(ctx, state.peer.NodeAddr, env)) != nil {
 		r.Metrics.Retry("progress_unconfirmed")
 	}
 }
@@ -239,50 +238,51 @@
 	}
 }
 
-// Run sends progress until ctx ends. It sleeps while nothing changes: an idle node should not wake up 20 times a second.
+// Run sends progress until ctx ends. It sleeps while nothing changes, so that an idle node does not wake up 20 times a
+// second.
 func (r *Replicator) Run(ctx context.Context) {
-	looked := time.Time{}
+	lastCheck := time.Time{}
 	for r.awaitWork(ctx) {
 		clock.Sleep(ctx, flushInterval)
 		r.flush(ctx)
-		if now := time.Now(); now.Sub(looked) >= leaveInterval {
-			looked = now
+		if now := time.Now(); now.Sub(lastCheck) >= replicaCheckInterval {
+			lastCheck = now
 			r.moveReplicas(ctx)
 		}
 	}
 }
 
-// awaitWork returns true when there is progress to send, or after leaveInterval while there are replicas, and false
-// when ctx has ended.
+// awaitWork returns true when there is progress to send, or after replicaCheckInterval while there are replicas, and
+// false when ctx has ended.
 func (r *Replicator) awaitWork(ctx context.Context) bool {
 	r.mu.Lock()
-	replicas := len(r.copies) > 0
+	hasReplicas := len(r.replicas) > 0
 	r.mu.Unlock()
-	var look <-chan time.Time
-	if replicas {
-		look = time.After(leaveInterval)
+	var check <-chan time.Time
+	if hasReplicas {
+		check = time.After(replicaCheckInterval)
 	}
 	select {
 	case <-r.wake:
-	case <-look:
+	case <-check:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-// batch is the progress for one replica.
+// batch is the logs whose progress is sent to one node in one message.
 type batch struct {
 	peer   membership.Member
 	logs   []*stream.Log
 	states []*replicaState
 }
 
-// flush sends the progress of all changed logs, one message per replica.
+// flush sends the progress of all changed logs, in one message per replica node.
 func (r *Replicator) flush(ctx context.Context) {
 	batches := map[string]*batch{}
 	r.mu.Lock()
 	for id, log := range r.dirty {
-		state := r.copies[id]
+		state := r.replicas[id]
 		b := batches[state.peer.Node]
 		if b == nil {
 			b = &batch{peer: state.peer}
@@ -308,19 +308,19 @@
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	env := &pb.Envelope{Body: &pb.Envelope_StreamAppend{StreamAppend: message}}
-	err := r.acknowledged(r.Transport.Request(ctx, b.peer.NodeAddr, env))
+	err := r.checkAck(r.Transport.Request(ctx, b.peer.NodeAddr, env))
 	for i, progress := range message.Progress {
-		r.settle(ctx, b.logs[i], b.states[i], progress, err)
+		r.recordResult(ctx, b.logs[i], b.states[i], progress, err)
 	}
 }
 
-// settle notes what the replica has, or looks for another replica after repeated failures.
-func (r *Replicator) settle(ctx context.Context, log *stream.Log, state *replicaState, sent *pb.StreamProgress, err error) {
+// recordResult advances the replica's acknowledged offset, or chooses another replica after repeated failures.
+func (r *Replicator) recordResult(ctx context.Context, log *stream.Log, state *replicaState, sent *pb.StreamProgress, err error) {
 	if err == nil {
 		state.sent = sent.Offset + uint32(len(sent.Tokens))
 		state.failures = 0
 		if sent.Finished {
-			r.forget(sent.ResponseId)
+			r.removeReplica(sent.ResponseId)
 		}
 		return
 	}
@@ -331,17 +331,17 @@
 	r.Changed(log)
 }
 
-func (r *Replicator) forget(id string) {
+func (r *Replicator) removeReplica(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.copies, id)
+	delete(r.replicas, id)
 	delete(r.dirty, id)
 }
 
-// reopen gives the log to another replica, which receives everything from the start.
+// reopen opens a replica on another node, which then receives the log from the start.
 func (r *Replicator) reopen(ctx context.Context, log *stream.Log, state *replicaState) {
 	r.Metrics.Retry("replica_reopen")
-	for _, peer := range r.candidates(log.Meta().ID, r.Self, openTries) {
+	for _, peer := range r.candidates(log.Meta().ID, r.Self, maxOpenAttempts) {
 		if peer.Node == state.peer.Node || r.openAt(context.WithoutCancel(ctx), peer, log) != nil {
 			continue
 		}
@@ -353,10 +353,10 @@
 	}
 }
 
-// NewID returns the id of a response whose home is the node.
+// NewID returns the id of a response whose first home is the node. unique must not contain "-".
 func NewID(node, unique string) string { return "r-" + node + "-" + unique }
 
-// HomeOf returns the node an id names.
+// HomeOf returns the node that an id names, or "" if the id is malformed.
 func HomeOf(id string) string {
 	rest, ok := strings.CutPrefix(id, "r-")
 	end := strings.LastIndexByte(rest, '-')
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -9,10 +9,10 @@
 	"github.com/pollenlug/pollenlug/pkg/stream"
 )
 
-// fetchWait is how long a node that is asked for progress waits for some before it answers with none.
+// fetchWait is how long a home node that is queried for progress waits for new tokens before it replies without any.
 const fetchWait = 500 * time.Millisecond
 
-// Handle answers the stream messages of other nodes; it returns nil for messages of other kinds.
+// Handle processes a stream message of another node and returns the reply, or nil for messages of other kinds.
 func (r *Replicator) Handle(ctx context.Context, from string, env *pb.Envelope) *pb.Envelope {
 	switch body := env.Body.(type) {
 	case *pb.Envelope_StreamOpen:
@@ -23,7 +23,7 @@
 	case *pb.Envelope_StreamFetch:
 		return r.fetch(ctx, body.StreamFetch)
 	case *pb.Envelope_StreamHandover:
-		return r.takeHandover(from, body.StreamHandover)
+		return r.acceptHandover(from, body.StreamHandover)
 	default:
 		return nil
 	}
@@ -33,7 +33,8 @@
 	return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{Code: uint32(c), Message: message}}}
 }
 
-// append applies progress. A log this node does not have, or a gap, makes the home node open the replica again.
+// append applies progress to replicas. A missing log or a gap is refused, and the home node chooses another replica after
+// repeated failures.
 func (r *Replicator) append(message *pb.StreamAppend) *pb.Envelope {
 	now := time.Now()
 	for _, progress := range message.Progress {
@@ -42,7 +43,7 @@
 			return ack(code.UnknownResponse, "no log of "+progress.ResponseId)
 		}
 		if log.Meta().Home == r.Self.Node {
-			continue // this node has taken over; the old home's progress is stale
+			continue // this node has taken over; the previous home's progress is stale
 		}
 		err := log.Apply(progress, now)
 		if err == stream.ErrGap {
@@ -52,7 +53,7 @@
 	return ack(code.OK, "")
 }
 
-// fetch answers with tokens after the given offset. It waits for some while the response runs here.
+// fetch returns the tokens from the given offset on. If the response runs here, it waits for new ones up to fetchWait.
 func (r *Replicator) fetch(ctx context.Context, message *pb.StreamFetch) *pb.Envelope {
 	log := r.Logs.Get(message.ResponseId)
 	if log == nil || log.Meta().Workspace != message.Workspace {
@@ -83,7 +84,7 @@
 	return &pb.Envelope{Body: &pb.Envelope_StreamState{StreamState: state}}
 }
 
-// resume starts the attempts of a response that was cancelled because nobody read it.
+// resume starts the attempts of an unfinished response that may have been cancelled because nobody read it.
 func (r *Replicator) resume(log *stream.Log) {
 	if log.End().Finished {
 		return
@@ -91,7 +92,7 @@
 	r.run(log, "")
 }
 
-// run starts the attempts of a response; kv is the handle of a KV cache that waits on the log's server.
+// run starts the attempts of a response; kv is the handle of its KV cache on the log's server, or "".
 func (r *Replicator) run(log *stream.Log, kv string) {
 	if err := r.Options.Run(log, kv); err != nil {
 		_ = log.Finish(log.Attempt(), "", code.From(err).Code, time.Now())
@@ -114,17 +115,17 @@
 	}
 }
 
-// takeOver makes this node the home of a response whose home has gone.
+// takeOver makes this node the home of a response whose home node is gone.
 func (r *Replicator) takeOver(log *stream.Log) {
 	log.SetHome(r.Self.Node)
 	r.Metrics.Add("responses_taken_over", 1)
 	r.adopt(log, "", "")
 }
 
-// adopt finds a replica for a response that has become this node's and continues it. The replica is not on the node
-// that handed the response over, since that one leaves and this node may not have heard of it yet.
+// adopt opens a replica of a response whose home has become this node, and continues the response. The replica is not
+// placed on the node that handed the response over, as that node is leaving and this one may not know it yet.
 func (r *Replicator) adopt(log *stream.Log, kv, leaving string) {
-	ctx, cancel := context.WithTimeout(context.Background(), openTries*openTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), maxOpenAttempts*openTimeout)
 	defer cancel()
 	if err := r.openExcept(ctx, log, leaving); err != nil {
 		r.Log.WithError(err).Warn("response continues without a replica")
@@ -134,8 +135,8 @@
 	}
 }
 
-// takeHandover continues a response of a node that leaves.
-func (r *Replicator) takeHandover(from string, message *pb.StreamHandover) *pb.Envelope {
+// acceptHandover continues a response that a leaving node hands over.
+func (r *Replicator) acceptHandover(from string, message *pb.StreamHandover) *pb.Envelope {
 	log := r.Logs.Add(stream.NewLog(stream.MetaFrom(message.Open), time.Now()))
 	if err := log.Apply(message.Progress, time.Now()); err != nil && err != stream.ErrFinished && err != stream.ErrStaleAttempt {
 		return ack(code.InvalidEventID, err.Error())
