--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -50,8 +50,8 @@
 
 var errLinkDown = errors.New("test: no answer")
 
-// testCluster has nodes with real replicators and runners, and fake servers that generate "t0 t1 ...".
-type testCluster struct {
+// cluster has nodes with real replicators and runners, and fake servers that generate "t0 t1 ...".
+type cluster struct {
 	mu      sync.Mutex
 	nodes   []*testNode
 	servers map[string]*testServer
@@ -72,16 +72,16 @@
 	changed chan struct{}
 }
 
-func newTestCluster(t testing.TB, progressFirst bool) *testCluster {
-	tc := &testCluster{servers: map[string]*testServer{}, ended: make(chan struct{})}
+func newCluster(t testing.TB, progressFirst bool) *cluster {
+	cl := &cluster{servers: map[string]*testServer{}, ended: make(chan struct{})}
 	for i := range testServers {
-		tc.servers[fmt.Sprintf("server-%d", i)] = &testServer{changed: make(chan struct{})}
+		cl.servers[fmt.Sprintf("server-%d", i)] = &testServer{changed: make(chan struct{})}
 	}
 	index := testIndex(t, progressFirst)
 	for i := range testNodes {
-		tc.nodes = append(tc.nodes, tc.newNode(i, index))
+		cl.nodes = append(cl.nodes, cl.newNode(i, index))
 	}
-	return tc
+	return cl
 }
 
 func testIndex(t testing.TB, progressFirst bool) *config.Index {
@@ -95,17 +95,17 @@
 	return config.NewIndex(&pb.Snapshot{Merged: merged})
 }
 
-func (tc *testCluster) newNode(i int, index *config.Index) *testNode {
+func (cl *cluster) newNode(i int, index *config.Index) *testNode {
 	name := fmt.Sprintf("node-%d", i)
 	n := &testNode{member: membership.Member{Node: name, NodeAddr: name, FailureDomain: fmt.Sprintf("domain-%d", i), Status: pb.MemberState_ALIVE}}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	n.router = route.New(route.Options{Seed: uint64(i) + 1})
-	n.router.SetServers(tc.routeServers(nil))
+	n.router.SetServers(cl.routeServers(nil))
 	set := metrics.NewSet()
 	n.runner = generate.NewRunner(generate.Options{
 		Router:   n.router,
-		Engine:   &testEngine{cluster: tc},
+		Engine:   &testEngine{cluster: cl},
 		Budget:   unlimited{},
 		Strikes:  unlimited{},
 		Limits:   unlimited{},
@@ -117,10 +117,10 @@
 	})
 	n.Replicator = New(Options{
 		Self:      n.member,
-		Live:      tc.live,
-		Members:   tc.members,
-		Member:    tc.memberOf,
-		Transport: &testTransport{cluster: tc, from: n},
+		Live:      cl.live,
+		Members:   cl.members,
+		Member:    cl.memberOf,
+		Transport: &testTransport{cluster: cl, from: n},
 		Logs:      stream.NewStore(),
 		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWith(log, kv, func() {}) },
 		Metrics:   set,
@@ -154,7 +154,7 @@
 	return func(strike.Outcome) {}, true
 }
 
-func (tc *testCluster) routeServers(leaving map[string]bool) []route.Server {
+func (cl *cluster) routeServers(leaving map[string]bool) []route.Server {
 	var out []route.Server
 	for i := range testServers {
 		name := fmt.Sprintf("server-%d", i)
@@ -164,21 +164,21 @@
 	return out
 }
 
-func (tc *testCluster) members() []membership.Member {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
+func (cl *cluster) members() []membership.Member {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var out []membership.Member
-	for _, n := range tc.nodes {
+	for _, n := range cl.nodes {
 		out = append(out, n.member)
 	}
 	return out
 }
 
-func (tc *testCluster) live() []membership.Member {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
+func (cl *cluster) live() []membership.Member {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var out []membership.Member
-	for _, n := range tc.nodes {
+	for _, n := range cl.nodes {
 		if n.member.Status == pb.MemberState_ALIVE {
 			out = append(out, n.member)
 		}
@@ -186,10 +186,10 @@
 	return out
 }
 
-func (tc *testCluster) memberOf(node string) (membership.Member, bool) {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
-	for _, n := range tc.nodes {
+func (cl *cluster) memberOf(node string) (membership.Member, bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, n := range cl.nodes {
 		if n.member.Node == node {
 			return n.member, true
 		}
@@ -197,63 +197,63 @@
 	return membership.Member{}, false
 }
 
-func (tc *testCluster) setStatus(status pb.MemberState_Status, nodes ...int) {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
+func (cl *cluster) setStatus(status pb.MemberState_Status, nodes ...int) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	for _, i := range nodes {
-		tc.nodes[i].member.Status = status
+		cl.nodes[i].member.Status = status
 	}
 }
 
-func (tc *testCluster) isDead(n *testNode) bool {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
+func (cl *cluster) isDead(n *testNode) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	return n.dead
 }
 
 // kill stops a node at once; the others detect it only after detectionTime.
-func (tc *testCluster) kill(i int) {
-	n := tc.nodes[i]
-	tc.mu.Lock()
+func (cl *cluster) kill(i int) {
+	n := cl.nodes[i]
+	cl.mu.Lock()
 	n.dead = true
-	tc.mu.Unlock()
+	cl.mu.Unlock()
 	n.Logs.Each(func(log *stream.Log) { n.runner.Stop(log.Meta().ID) })
 	time.AfterFunc(detectionTime, func() {
-		tc.mu.Lock()
-		defer tc.mu.Unlock()
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
 		n.member.Status = pb.MemberState_DEAD
 	})
 }
 
 // setServer changes the state of a server: "" for up, down or frozen.
-func (tc *testCluster) setServer(name, state string) {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
-	s := tc.servers[name]
+func (cl *cluster) setServer(name, state string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	s := cl.servers[name]
 	s.state = state
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (tc *testCluster) server(name string) (state string, changed chan struct{}) {
-	tc.mu.Lock()
-	defer tc.mu.Unlock()
-	return tc.servers[name].state, tc.servers[name].changed
+func (cl *cluster) server(name string) (state string, changed chan struct{}) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.servers[name].state, cl.servers[name].changed
 }
 
 // reclaim gives notice that a server will be reclaimed and stops it when the notice ends.
-func (tc *testCluster) reclaim(name string, notice time.Duration) {
+func (cl *cluster) reclaim(name string, notice time.Duration) {
 	deadline := time.Now().Add(notice)
-	for _, n := range tc.nodes {
-		n.router.SetServers(tc.routeServers(map[string]bool{name: true}))
+	for _, n := range cl.nodes {
+		n.router.SetServers(cl.routeServers(map[string]bool{name: true}))
 		go n.runner.ServerLeaving(context.Background(), name, deadline)
 	}
-	time.AfterFunc(notice, func() { tc.setServer(name, "down") })
+	time.AfterFunc(notice, func() { cl.setServer(name, "down") })
 }
 
 // testTransport delivers messages within a millisecond. A dead node neither sends nor replies.
 type testTransport struct {
-	cluster *testCluster
+	cluster *cluster
 	from    *testNode
 }
 
@@ -279,7 +279,7 @@
 // testEngine runs requests on the fake servers of the cluster.
 type testEngine struct {
 	backend.Engine
-	cluster *testCluster
+	cluster *cluster
 }
 
 // Generate repeats the last resumed token in its first chunk, like an engine whose output overlaps with the log.
@@ -336,8 +336,8 @@
 }
 
 // accept accepts a request on a node, as the gateway of an entry node does.
-func (tc *testCluster) accept(i int, id string) error {
-	n := tc.nodes[i]
+func (cl *cluster) accept(i int, id string) error {
+	n := cl.nodes[i]
 	meta := stream.Meta{ID: NewID(n.member.Node, id), Workspace: workspace, Home: n.member.Node, Path: "/v1/completions",
 		Request: []byte(fmt.Sprintf(`{"model":"m","prompt":"p","stream":true,"max_tokens":%d}`, testTokens)), Created: time.Now()}
 	log := n.Logs.Add(stream.NewLog(meta, time.Now()))
@@ -349,7 +349,7 @@
 
 // caller reads a response like a client: when its node dies, it resumes on the next one.
 type caller struct {
-	cluster *testCluster
+	cluster *cluster
 	id      string
 	node    int
 	offset  uint32
@@ -406,14 +406,14 @@
 	}
 }
 
-func (tc *testCluster) start() (stop func()) {
+func (cl *cluster) start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	for _, n := range tc.nodes {
+	for _, n := range cl.nodes {
 		go n.Run(ctx)
 	}
 	return func() {
 		cancel()
-		for _, n := range tc.nodes {
+		for _, n := range cl.nodes {
 			n.Logs.Each(func(log *stream.Log) { n.runner.Stop(log.Meta().ID) })
 		}
 		time.Sleep(time.Minute) // lets remaining goroutines end
@@ -427,9 +427,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 6).Draw(rt, "faults")
 		synctest.Test(t, func(*testing.T) {
-			tc := newTestCluster(t, false)
-			defer tc.start()()
-			if err := tc.runSchedule(faults); err != nil {
+			cl := newCluster(t, false)
+			defer cl.start()()
+			if err := cl.runSchedule(faults); err != nil {
 				rt.Errorf("%v", err)
 			}
 		})
@@ -452,13 +452,13 @@
 }
 
 // runSchedule runs one response on each node under a fault schedule and checks every response.
-func (tc *testCluster) runSchedule(faults []fault) error {
+func (cl *cluster) runSchedule(faults []fault) error {
 	var callers []*caller
-	for i := range tc.nodes {
-		if err := tc.accept(i, "a"); err != nil {
+	for i := range cl.nodes {
+		if err := cl.accept(i, "a"); err != nil {
 			return err
 		}
-		callers = append(callers, &caller{cluster: tc, id: NewID(tc.nodes[i].member.Node, "a"), node: i})
+		callers = append(callers, &caller{cluster: cl, id: NewID(cl.nodes[i].member.Node, "a"), node: i})
 	}
 	results := make(chan error, len(callers))
 	for _, c := range callers {
@@ -470,7 +470,7 @@
 			results <- err
 		}()
 	}
-	tc.inject(faults)
+	cl.inject(faults)
 	var err error
 	for range callers {
 		err = errors.Join(err, <-results)
@@ -480,42 +480,42 @@
 
 // inject applies the faults. It kills at most one node, since the guarantee covers the loss of one of the two nodes that
 // hold a log. A server recovers after 800 ms, so that some servers remain available.
-func (tc *testCluster) inject(faults []fault) {
+func (cl *cluster) inject(faults []fault) {
 	killed := false
 	for _, f := range faults {
 		time.Sleep(f.After)
 		name := fmt.Sprintf("server-%d", f.Target)
 		switch f.Kind {
 		case "crash":
-			tc.setServer(name, "down")
+			cl.setServer(name, "down")
 		case "freeze":
-			tc.setServer(name, "frozen")
+			cl.setServer(name, "frozen")
 		case "reclaim":
-			tc.reclaim(name, 500*time.Millisecond)
+			cl.reclaim(name, 500*time.Millisecond)
 		case "kill":
 			if !killed {
 				killed = true
-				tc.kill(f.Target % testNodes)
+				cl.kill(f.Target % testNodes)
 			}
 			continue
 		}
-		time.AfterFunc(800*time.Millisecond, func() { tc.setServer(name, "") })
+		time.AfterFunc(800*time.Millisecond, func() { cl.setServer(name, "") })
 	}
 }
 
 // Guards against a changed sequence of events when the home node dies while servers are reclaimed, by a golden file.
 func TestHomeNodeFailureDuringReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tc := newTestCluster(t, false)
-		defer tc.start()()
-		assert.NilError(t, tc.accept(0, "a"))
-		c := &caller{cluster: tc, id: NewID("node-0", "a")}
+		cl := newCluster(t, false)
+		defer cl.start()()
+		assert.NilError(t, cl.accept(0, "a"))
+		c := &caller{cluster: cl, id: NewID("node-0", "a")}
 		time.AfterFunc(time.Second, func() {
 			for i := range testServers / 2 {
-				tc.reclaim(fmt.Sprintf("server-%d", i), 300*time.Millisecond)
+				cl.reclaim(fmt.Sprintf("server-%d", i), 300*time.Millisecond)
 			}
 		})
-		time.AfterFunc(1500*time.Millisecond, func() { tc.kill(0) })
+		time.AfterFunc(1500*time.Millisecond, func() { cl.kill(0) })
 		assert.NilError(t, c.read(time.Minute))
 		c.events = append(c.events, fmt.Sprintf("complete: %d tokens, exact: %v", c.offset, c.text.String() == expectedText()))
 		golden.Assert(t, strings.Join(c.events, "\n")+"\n", "dying-home.golden")
@@ -526,18 +526,18 @@
 // progress_before_delivery, the replica has every token that the caller has seen.
 func TestReplicaHasEveryDeliveredToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tc := newTestCluster(t, true)
-		defer tc.start()()
-		assert.NilError(t, tc.accept(0, "a"))
+		cl := newCluster(t, true)
+		defer cl.start()()
+		assert.NilError(t, cl.accept(0, "a"))
 		id := NewID("node-0", "a")
-		replicaNode := tc.nodes[0].candidates(id, tc.nodes[0].Self, 1)[0].Node
-		home := tc.nodes[0].Logs.Get(id)
+		replicaNode := cl.nodes[0].candidates(id, cl.nodes[0].Self, 1)[0].Node
+		home := cl.nodes[0].Logs.Get(id)
 		changes, cancel := home.Subscribe()
 		defer cancel()
 		for home.Len() < testTokens/2 {
 			<-changes
 			delivered := home.Len()
-			for _, n := range tc.nodes {
+			for _, n := range cl.nodes {
 				if n.member.Node == replicaNode {
 					assert.Assert(t, n.Logs.Get(id).Len() >= delivered, "the replica has fewer tokens than the caller")
 				}
@@ -550,19 +550,19 @@
 // one has accepted it already.
 func TestHandoverAvoidsUnneededKVCacheCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tc := newTestCluster(t, false)
-		defer tc.start()()
-		assert.NilError(t, tc.accept(0, "a"))
-		n, copies := tc.nodes[0], 0
+		cl := newCluster(t, false)
+		defer cl.start()()
+		assert.NilError(t, cl.accept(0, "a"))
+		n, copies := cl.nodes[0], 0
 		log := n.Logs.Get(NewID("node-0", "a"))
 		handover := func() bool {
 			retainKV := func(context.Context) string { copies++; return "" }
 			return n.Handover(t.Context(), log, retainKV, func() { n.runner.Stop(log.Meta().ID) })
 		}
-		tc.setStatus(pb.MemberState_LEAVING, 1, 2, 3)
+		cl.setStatus(pb.MemberState_LEAVING, 1, 2, 3)
 		assert.Assert(t, !handover())
 		assert.Equal(t, copies, 0, "no node could accept the response")
-		tc.setStatus(pb.MemberState_ALIVE, 1, 2, 3)
+		cl.setStatus(pb.MemberState_ALIVE, 1, 2, 3)
 		assert.Assert(t, handover())
 		assert.Assert(t, !handover(), "the response already has another home")
 		assert.Equal(t, copies, 1)
@@ -572,14 +572,14 @@
 // Guards against a response that another workspace can read, and against an unknown response that is found.
 func TestAttachRefusesOtherWorkspaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tc := newTestCluster(t, false)
-		defer tc.start()()
-		assert.NilError(t, tc.accept(0, "a"))
-		for _, n := range tc.nodes {
+		cl := newCluster(t, false)
+		defer cl.start()()
+		assert.NilError(t, cl.accept(0, "a"))
+		for _, n := range cl.nodes {
 			_, _, err := n.Attach(t.Context(), "shop", NewID("node-0", "a"))
 			assert.ErrorContains(t, err, "no live node holds this response")
 		}
-		_, _, err := tc.nodes[2].Attach(t.Context(), workspace, NewID("node-0", "b"))
+		_, _, err := cl.nodes[2].Attach(t.Context(), workspace, NewID("node-0", "b"))
 		assert.ErrorContains(t, err, "no live node holds this response")
 	})
 }
