--- a/internal/generate/attempt.go
+++ b/internal/generate/attempt.go
@@ -15,19 +15,19 @@
 
 // complete runs attempts until the response has ended or this node stops running it.
 func (r *Runner) complete(ctx context.Context, run *run) {
-	run.began = time.Now()
-	backoff := firstBackoff
+	run.startedAt = time.Now()
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		before := run.log.Len()
 		err := r.attempt(ctx, run)
 		if err == nil || errors.Is(err, stream.ErrFinished) {
 			return
 		}
-		if refusal := r.giveUp(run, err); refusal != nil {
-			r.fail(run, refusal.Code)
+		if terminal := r.terminalError(run, err); terminal != nil {
+			r.fail(run, terminal.Code)
 			return
 		}
-		reason := reasonOf(err)
+		reason := retryReason(err)
 		if ctx.Err() == nil {
 			r.Metrics.Retry(reason)
 		}
@@ -35,23 +35,23 @@
 			continue
 		}
 		if run.log.Len() > before {
-			backoff = firstBackoff
+			backoff = minBackoff
 		}
-		if !r.pause(ctx, reason, backoff) {
+		if !r.waitBeforeRetry(ctx, reason, backoff) {
 			break
 		}
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
-	r.stopped(ctx, run)
+	r.recordStop(ctx, run)
 }
 
-// stopped records why a run ended before its response was complete.
-func (r *Runner) stopped(ctx context.Context, run *run) {
+// recordStop records why a run ended before its response was complete.
+func (r *Runner) recordStop(ctx context.Context, run *run) {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errHandover):
 	case errors.Is(cause, errNoReader):
-		// The log stays without an end: a caller that resumes later starts the next attempt.
+		// The log stays unfinished, so that a caller that resumes later starts the next attempt.
 		r.Metrics.Refusal(code.CallerGone)
 	default:
 		r.fail(run, code.DeadlineExceeded)
@@ -62,34 +62,35 @@
 	_ = run.log.Finish(run.log.Attempt(), "", c, time.Now())
 }
 
-// giveUp returns the refusal that ends the response, or nil when another attempt is worth it.
-func (r *Runner) giveUp(run *run, err error) *code.Error {
+// terminalError returns the error that ends the response, or nil if another attempt should be made.
+func (r *Runner) terminalError(run *run, err error) *code.Error {
 	var refusal *code.Error
 	if !errors.As(err, &refusal) {
 		return nil
 	}
-	if refusal.Code == code.NoBackendServer && (run.log.Len() > 0 || time.Since(run.began) < noServerPatience) {
+	if refusal.Code == code.NoBackendServer && (run.log.Len() > 0 || time.Since(run.startedAt) < noServerTimeout) {
 		return nil
 	}
 	return refusal
 }
 
-// pause waits before the next attempt: for the retry budget, then the backoff. What sends nothing costs no budget.
-func (r *Runner) pause(ctx context.Context, reason string, backoff time.Duration) bool {
-	free := reason == reasonNoServer || reason == reasonHeld
-	if !free && r.Budget.Wait(ctx) != nil {
+// waitBeforeRetry waits for the retry budget and then for the backoff. It reports false if ctx has ended. Retries for
+// which no request was sent to a server cost no budget.
+func (r *Runner) waitBeforeRetry(ctx context.Context, reason string, backoff time.Duration) bool {
+	unmetered := reason == reasonNoServer || reason == reasonHeld
+	if !unmetered && r.Budget.Wait(ctx) != nil {
 		return false
 	}
 	if reason == reasonInterrupted || reason == reasonSilent {
-		return true // another server takes the next attempt, so waiting would only delay the caller
+		return true // the next attempt goes to another server, so a backoff would only delay the caller
 	}
 	clock.Sleep(ctx, backoff)
 	return ctx.Err() == nil
 }
 
-func reasonOf(err error) string {
+func retryReason(err error) string {
 	switch {
-	case errors.Is(err, errMove):
+	case errors.Is(err, errMoved):
 		return reasonMoved
 	case errors.Is(err, errHeld):
 		return reasonHeld
@@ -106,7 +107,7 @@
 	}
 }
 
-// attempt sends the response's request to one server and copies its tokens into the log.
+// attempt sends the request to one server and copies the generated tokens into the log.
 func (r *Runner) attempt(ctx context.Context, run *run) error {
 	state, wait := r.Strikes.State(run.digest)
 	switch state {
@@ -150,15 +151,16 @@
 	if limited {
 		r.Limits.Release(pick.Server.ID)
 	}
-	if cause := context.Cause(attemptCtx); errors.Is(cause, errMove) && err != nil {
-		err = errMove
+	if cause := context.Cause(attemptCtx); errors.Is(cause, errMoved) && err != nil {
+		err = errMoved
 	}
 	end(strikeOutcome(ctx, err))
-	r.settle(run, pick, result, err, ctx)
+	r.recordOutcome(run, pick, result, err, ctx)
 	return err
 }
 
-// strikeOutcome tells package strike how an attempt ended. Only a connection that broke may mean that the server crashed.
+// strikeOutcome converts the result of an attempt for package strike. Only a broken connection can mean that the server
+// crashed.
 func strikeOutcome(ctx context.Context, err error) strike.Outcome {
 	switch {
 	case err == nil:
@@ -170,29 +172,30 @@
 	}
 }
 
-// settle returns the server to the router and remembers its failure.
-func (r *Runner) settle(run *run, pick *route.Pick, result route.Result, err error, ctx context.Context) {
+// recordOutcome reports the result of an attempt to the router and the health tracker, and excludes a server that failed
+// from the next attempt.
+func (r *Runner) recordOutcome(run *run, pick *route.Pick, result route.Result, err error, ctx context.Context) {
 	server := pick.Server
 	switch {
 	case err == nil:
 		result.Outcome = route.Succeeded
-		run.failed = nil
+		run.excluded = nil
 		r.Health.Observe(server.ID, true)
-	case errors.Is(err, errMove), ctx.Err() != nil:
+	case errors.Is(err, errMoved), ctx.Err() != nil:
 		result.Outcome = route.Cancelled
 	case errors.Is(err, backend.ErrRefused):
 		result.Outcome = route.Refused
-		run.failed = append(run.failed, server.ID)
+		run.excluded = append(run.excluded, server.ID)
 	default:
-		run.failed = append(run.failed, server.ID)
+		run.excluded = append(run.excluded, server.ID)
 		r.Health.Observe(server.ID, false)
 		r.Log.WithError(err).WithField("server", server.ID).Info("attempt failed")
 	}
 	pick.Done(result)
 }
 
-// pick chooses the server of the next attempt: the target of a move if there is one, else the router's choice. When
-// every server has failed lately, all are allowed again.
+// pick chooses the server for the next attempt: the target of a move if there is one, else the router's choice. If no
+// server remains apart from the excluded ones, all are allowed again.
 func (r *Runner) pick(run *run, isolate bool, resumed uint32) (*route.Pick, error) {
 	if target := run.takeTarget(); target != nil {
 		return target, nil
@@ -204,15 +207,15 @@
 		Blocks:       run.blocks,
 		PromptTokens: estimateTokens(run.req.Prompt) + resumed,
 		OutputTokens: run.req.MaxTokens,
-		Exclude:      run.failed,
+		Exclude:      run.excluded,
 		Isolate:      isolate,
 		IsolateKey:   run.digest,
-		Prefer:       run.prefer,
+		Prefer:       run.preferredServer,
 	}
-	run.prefer = ""
+	run.preferredServer = ""
 	pick, err := r.Router.Pick(&req)
-	if err != nil && len(run.failed) > 0 {
-		run.failed, req.Exclude = nil, nil
+	if err != nil && len(run.excluded) > 0 {
+		run.excluded, req.Exclude = nil, nil
 		pick, err = r.Router.Pick(&req)
 	}
 	if err != nil {
@@ -221,7 +224,7 @@
 	return &pick, nil
 }
 
-// bytesPerToken is the usual ratio for English text; the router needs the size of a prompt only roughly.
+// bytesPerToken is the usual ratio for English text; the router needs only a rough prompt size.
 const bytesPerToken = 5
 
 func estimateTokens(prompt string) uint32 { return uint32(len(prompt)/bytesPerToken) + 1 }
@@ -242,7 +245,7 @@
 	}
 }
 
-// accept copies one chunk into the log.
+// accept copies one chunk into the log and adds its token usage to result and the metrics.
 func (r *Runner) accept(ctx context.Context, run *run, attempt uint32, chunk backend.Chunk, result *route.Result) error {
 	now := time.Now()
 	if len(chunk.Tokens) > 0 {
@@ -252,7 +255,7 @@
 		if _, err := run.log.Append(attempt, chunk.Offset, chunk.Tokens, now); err != nil {
 			return err
 		}
-		run.noteToken(now)
+		run.recordFirstToken(now)
 	}
 	if usage := chunk.Usage; usage != nil {
 		result.PromptTokens, result.CachedTokens = usage.PromptTokens, usage.CachedTokens
@@ -269,7 +272,7 @@
 	return nil
 }
 
-// start records the server of the new attempt and returns the KV handle that waits there.
+// start records the server of the new attempt and returns the handle of the KV cache held there, or "".
 func (run *run) start(server *route.Server, stop context.CancelCauseFunc) (kv string) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -277,8 +280,8 @@
 	run.moving = false
 	run.firstToken = time.Time{}
 	kv, run.kv = run.kv, ""
-	if run.kvAt != "" && run.kvAt != server.ID {
-		kv = "" // the cache waits on another server
+	if run.kvServer != "" && run.kvServer != server.ID {
+		kv = "" // the cache is on another server
 	}
 	return kv
 }
@@ -291,14 +294,14 @@
 	return target
 }
 
-// dropTarget gives back the target of a move that the response did not live to use.
-func (run *run) dropTarget() {
+// releaseTarget releases the target of a move if the run ended before using it.
+func (run *run) releaseTarget() {
 	if target := run.takeTarget(); target != nil {
 		target.Done(route.Result{Outcome: route.Cancelled})
 	}
 }
 
-func (run *run) noteToken(now time.Time) {
+func (run *run) recordFirstToken(now time.Time) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	if run.firstToken.IsZero() {
--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// moveTimeout bounds the export and import of one KV cache; beyond it the target recomputes.
+	// moveTimeout bounds the export and import of one KV cache; after it, the target recomputes the cache.
 	moveTimeout = 3 * time.Second
-	// finishMargin is kept between the expected end of an answer and the end of a notice, because processes die early.
-	finishMargin = 0.5
+	// finishSafetyFactor is the fraction of the remaining notice in which a response must be expected to finish if it is
+	// to stay on its server. Servers may stop before their notice ends.
+	finishSafetyFactor = 0.5
 )
 
-// ServerLeaving moves the responses that run on the server and will not finish before the deadline. It returns when
-// all have been dealt with or ctx ends. Calls for a server whose responses are being moved do nothing.
+// ServerLeaving moves the responses that run on the server and are not expected to finish before the deadline. It
+// returns when the moves have been started or ctx ends. A repeated call skips the responses that are being moved.
 func (r *Runner) ServerLeaving(ctx context.Context, server string, deadline time.Time) {
 	if r.Restart {
 		return
@@ -52,7 +53,8 @@
 	return true
 }
 
-// finishesBefore extrapolates the attempt's pace to the longest answer; run.mu is held.
+// finishesBefore estimates whether the response reaches MaxTokens before the deadline, from the tokens in the log and the
+// time since the attempt's first token. run.mu must be held.
 func (run *run) finishesBefore(deadline time.Time, tokens uint32) bool {
 	if run.firstToken.IsZero() || tokens == 0 {
 		return false
@@ -60,7 +62,7 @@
 	now := time.Now()
 	perToken := now.Sub(run.firstToken) / time.Duration(tokens)
 	rest := perToken * time.Duration(run.req.MaxTokens-min(tokens, run.req.MaxTokens))
-	available := time.Duration(float64(deadline.Sub(now)) * finishMargin)
+	available := time.Duration(float64(deadline.Sub(now)) * finishSafetyFactor)
 	return rest < available
 }
 
@@ -70,31 +72,31 @@
 	run.moving = false
 }
 
-// move copies the KV cache to another server and switches the response over. When the copy fails, the response
-// switches all the same and the target recomputes what it has not cached.
+// move copies the KV cache to another server and switches the response to it. If the copy fails, the response switches
+// all the same, and the target recomputes what it has not cached.
 func (r *Runner) move(ctx context.Context, run *run) {
 	run.mu.Lock()
 	from, addr, stop := run.server, run.addr, run.stop
 	run.mu.Unlock()
 	target, err := r.moveTarget(run, from)
 	if err != nil {
-		// Without another server the response stays until the server goes.
+		// No other server can take the response, so it stays until its server stops.
 		run.endMove()
 		return
 	}
 	handle := r.copyKV(ctx, run, addr, target.Server.Addr)
 	run.mu.Lock()
-	run.target, run.kv, run.kvAt = target, handle, target.Server.ID
+	run.target, run.kv, run.kvServer = target, handle, target.Server.ID
 	run.mu.Unlock()
 	if handle != "" {
 		r.Metrics.Count("moves", "way", "kv_cache", 1)
 	} else {
 		r.Metrics.Count("moves", "way", "recompute", 1)
 	}
-	stop(errMove)
+	stop(errMoved)
 }
 
-// moveTarget reserves a place on another server.
+// moveTarget reserves capacity on another server.
 func (r *Runner) moveTarget(run *run, from string) (*route.Pick, error) {
 	pick, err := r.Router.Pick(&route.Request{
 		Model:        run.model.Name,
@@ -111,7 +113,7 @@
 	return &pick, nil
 }
 
-// copyKV returns the handle under which the target knows the KV cache, or "" when the copy failed.
+// copyKV copies the KV cache between two server addresses and returns its handle on the target, or "" on failure.
 func (r *Runner) copyKV(ctx context.Context, run *run, from, to string) string {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
@@ -121,16 +123,16 @@
 		err = r.Engine.ImportKV(ctx, to, id, kv)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("request_id", id).Info("KV cache could not be moved; the target recomputes")
+		r.Log.WithError(err).WithField("request_id", id).Info("KV cache could not be copied; the target server recomputes it")
 		return ""
 	}
 	return id
 }
 
-// KeepKV makes the KV cache of a running response survive the end of its attempt on the same server, for the next home
-// node. It returns the handle, or "" when the server cannot.
+// KeepKV retains the KV cache of a running response on its server beyond the end of the attempt, for use by the next home
+// node. It returns the handle, or "" if the cache cannot be retained.
 func (r *Runner) KeepKV(ctx context.Context, id string) string {
-	run := r.get(id)
+	run := r.lookup(id)
 	if run == nil {
 		return ""
 	}
@@ -145,7 +147,7 @@
 
 // OutlastsDeadline reports whether a response runs here and is not expected to finish before the deadline.
 func (r *Runner) OutlastsDeadline(id string, deadline time.Time) bool {
-	run := r.get(id)
+	run := r.lookup(id)
 	if run == nil {
 		return false
 	}
--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -1,17 +1,18 @@
-// Package generate runs the attempts of responses on the home node.
+// Package generate runs the generation attempts of responses on their home node.
 //
 // # Design
 //
-// A response is accepted once it has a log here and on a replica; from then on it is this node's duty to complete
-// it. One goroutine runs the attempts one after the other. An attempt continues from the tokens in the log, so that a
-// failed backend server costs the prefill of what its successor has not cached and never a token of the answer.
+// A response is accepted once it has a log here and on a replica; from then on, this node is responsible for completing
+// it. One goroutine runs the attempts one after another. An attempt continues from the tokens in the log, so a failed
+// backend server costs the prefill of what the next server has not cached, but never a token of the response.
 //
-// When a backend server is to leave, each of its responses takes the cheapest way: finish there when the expected
-// rest fits into the notice, move the KV cache to another server, or recompute there. The move keeps the old attempt
-// running while the KV cache is copied, so that the caller sees no pause longer than the switch.
+// When a backend server is leaving, each of its responses takes the cheapest option: finish on that server if the
+// expected remaining time fits into the notice, move with its KV cache to another server, or recompute on another
+// server. During a move, the old attempt runs on while the KV cache is copied, so that the caller sees no pause longer
+// than the switch.
 //
-// An accepted response is not refused for lack of retry budget: it waits for budget until its deadline. A response
-// that has produced nothing and finds no server is given up early with a retry time.
+// An accepted response is not refused for lack of retry budget: it waits for budget until its deadline. A response that
+// has no token yet and finds no server fails after noServerTimeout with a retry time.
 package generate
 
 import (
@@ -36,19 +37,19 @@
 )
 
 const (
-	// noServerPatience is how long a response without a token waits for a backend server before it is given up.
-	noServerPatience = 2 * time.Second
-	// firstBackoff and lastBackoff bound the wait between attempts; the wait doubles.
-	firstBackoff = 20 * time.Millisecond
-	lastBackoff  = time.Second
-	// callerGrace is how long a streamed response runs on without a reader, so that a caller whose connection broke can
-	// resume without a recompute.
-	callerGrace = 5 * time.Second
+	// noServerTimeout is how long a response without a token waits for a backend server before it fails.
+	noServerTimeout = 2 * time.Second
+	// minBackoff and maxBackoff bound the wait between attempts, which doubles until an attempt yields tokens.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
+	// readerGracePeriod is how long a streamed response runs on without a reader, so that a caller whose connection broke
+	// can resume without a recompute.
+	readerGracePeriod = 5 * time.Second
 
 	runShards = 32
 )
 
-// Reasons of retries, as counted.
+// Reasons of retries, as counted in the metrics.
 const (
 	reasonRefused     = "refused"
 	reasonUnreachable = "unreachable"
@@ -59,29 +60,29 @@
 	reasonHeld        = "held"
 )
 
-// errMove cancels an attempt whose response continues on another server.
-var errMove = errors.New("generate: response moves to another server")
+// errMoved cancels an attempt whose response continues on another server.
+var errMoved = errors.New("generate: response moves to another server")
 
-// errHeld means that the request waits for a decision on its strikes, or for its other run to end.
+// errHeld means that the request must wait for a decision on its strikes, or for another run of it to end.
 var errHeld = errors.New("generate: request is held")
 
 // errHandover cancels the run of a response whose home moves to another node.
 var errHandover = errors.New("generate: response moves to another node")
 
-// errNoReader cancels a run that nobody reads.
+// errNoReader cancels a run whose response has no reader.
 var errNoReader = errors.New("generate: nobody reads the response")
 
 // Budget limits retries.
 type Budget interface {
-	// Wait takes one retry from the budget, waiting for it if need be.
+	// Wait takes one retry from the budget, waiting until one is available or ctx ends.
 	Wait(ctx context.Context) error
 }
 
-// Strikes knows the requests that crash servers.
+// Strikes tracks requests that may crash servers.
 type Strikes interface {
-	// State tells how a request may run now, and for a held one how long until the decision.
+	// State returns how a request may run now and, if it is held, how long until the decision.
 	State(digest string) (state strike.State, wait time.Duration)
-	// Begin counts a run on a server; false means that the request must not run now. end must be called once.
+	// Begin counts a run on a server. If ok is false, the request must not run now; otherwise end must be called once.
 	Begin(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
 }
 
@@ -92,19 +93,19 @@
 	Release(server string)
 }
 
-// Progress is told about changes of a log, so that the replica receives them.
+// Progress forwards changes of a log to its replica.
 type Progress interface {
 	Changed(log *stream.Log)
-	// Confirm returns when the replica has the tokens, which are not in the log yet, or cannot get them.
+	// Confirm returns when the replica has the tokens, which are not in the log yet, or when sending them has failed.
 	Confirm(ctx context.Context, log *stream.Log, attempt, offset uint32, tokens []string)
 }
 
-// Health learns which servers fail.
+// Health tracks failures of servers.
 type Health interface {
 	Observe(server string, ok bool)
 }
 
-// Options are the parts of a Runner.
+// Options holds the dependencies and settings of a Runner.
 type Options struct {
 	Router   *route.Router
 	Engine   backend.Engine
@@ -115,16 +116,16 @@
 	Health   Health
 	// Config returns the configuration in force.
 	Config func() *config.Index
-	// Moves limits the moves that run at a time.
+	// Moves limits the number of concurrent moves. 0 means 8.
 	Moves   int
 	Metrics *metrics.Set
 	Log     *logrus.Entry
-	// Restart switches moves off and starts each further attempt from the first token. The log drops the tokens that it
-	// has already. It is the baseline that measurements compare with.
+	// Restart disables moves and starts each further attempt from the first token; the log drops the tokens that it
+	// already has. It is the baseline for measurements.
 	Restart bool
 }
 
-// Runner runs the responses whose home is this node.
+// Runner runs the generation of the responses whose home is this node.
 type Runner struct {
 	Options
 	seed   maphash.Seed
@@ -147,20 +148,20 @@
 	blocks []uint64
 	cancel context.CancelCauseFunc
 
-	// prefer is the server of an earlier home's attempt, for the first attempt here.
-	prefer string
-	// mu guards the fields below.
+	// preferredServer is the server of the previous home's last attempt. It is used for the first attempt here.
+	preferredServer string
+	// mu guards the fields below, except startedAt and excluded, which only the goroutine of the run uses.
 	mu         sync.Mutex
 	server     string
 	addr       string
-	stop       context.CancelCauseFunc // ends the current attempt
+	stop       context.CancelCauseFunc // cancels the current attempt
 	moving     bool
-	target     *route.Pick // where the next attempt goes after a move
-	kv         string      // handle of the KV cache that was imported there
-	kvAt       string      // server that has it
+	target     *route.Pick // reserved server for the next attempt after a move
+	kv         string      // handle of the KV cache that the next attempt can use
+	kvServer   string      // server that holds that KV cache
 	firstToken time.Time
-	began      time.Time
-	failed     []string // servers that failed lately, excluded from the next attempt
+	startedAt  time.Time
+	excluded   []string // servers that failed recently and are excluded from the next attempt
 }
 
 // NewRunner returns a Runner.
@@ -179,7 +180,7 @@
 	return &r.shards[maphash.String(r.seed, id)%runShards]
 }
 
-// Digest identifies the content of a request, whoever sends it.
+// Digest returns a hash of the content of a request, independent of its sender.
 func Digest(path string, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(path)
@@ -188,11 +189,12 @@
 	return strconv.FormatUint(d.Sum64(), 36)
 }
 
-// Run starts the response of a log in the background; done is called when this node no longer runs it. A response
-// that runs already is left alone. An error means that the log's request cannot be run.
+// Run starts the generation of a log's response in the background; done is called when this node no longer runs it. If
+// the response is already running, Run does nothing and done is not called. It returns an error if the request is
+// invalid or its model is no longer configured.
 func (r *Runner) Run(log *stream.Log, done func()) error { return r.RunWith(log, "", done) }
 
-// RunWith is Run for a response whose KV cache waits under a handle on the log's server.
+// RunWith is like Run for a response whose KV cache is available under the handle kv on the log's server.
 func (r *Runner) RunWith(log *stream.Log, kv string, done func()) error {
 	meta := log.Meta()
 	req, err := openai.ParseRequest(meta.Path, meta.Request)
@@ -205,15 +207,15 @@
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	run := &run{
-		log:    log,
-		req:    req,
-		model:  model,
-		digest: Digest(meta.Path, meta.Request),
-		blocks: backend.PrefixBlocks(nil, model.Name, model.Adapter, req.Prompt),
-		cancel: cancel,
-		prefer: log.Server(),
-		kv:     kv,
-		kvAt:   log.Server(),
+		log:             log,
+		req:             req,
+		model:           model,
+		digest:          Digest(meta.Path, meta.Request),
+		blocks:          backend.PrefixBlocks(nil, model.Name, model.Adapter, req.Prompt),
+		cancel:          cancel,
+		preferredServer: log.Server(),
+		kv:              kv,
+		kvServer:        log.Server(),
 	}
 	if !r.register(meta.ID, run) {
 		cancel(nil)
@@ -226,7 +228,7 @@
 		ctx, stop := withDeadline(ctx, meta.Deadline)
 		defer stop()
 		r.complete(ctx, run)
-		run.dropTarget()
+		run.releaseTarget()
 		r.Progress.Changed(log)
 	})
 	return nil
@@ -257,7 +259,7 @@
 	delete(shard.runs, id)
 }
 
-func (r *Runner) get(id string) *run {
+func (r *Runner) lookup(id string) *run {
 	shard := r.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -293,10 +295,10 @@
 // Wait returns when no response is in progress.
 func (r *Runner) Wait() { r.wg.Wait() }
 
-// ReaderClosed is called when a reader of a response has gone. A response that nobody reads any more is cancelled:
-// a streamed one after a grace, any other at once.
+// ReaderClosed must be called when a reader of a response has stopped. A response without readers is cancelled: a
+// streamed one after readerGracePeriod, any other at once.
 func (r *Runner) ReaderClosed(log *stream.Log) {
-	run := r.get(log.Meta().ID)
+	run := r.lookup(log.Meta().ID)
 	if run == nil {
 		return
 	}
@@ -308,7 +310,7 @@
 		run.cancel(errNoReader)
 		return
 	}
-	time.AfterFunc(callerGrace, func() {
+	time.AfterFunc(readerGracePeriod, func() {
 		openNow, totalNow := log.Readers()
 		if openNow == 0 && totalNow == total {
 			run.cancel(errNoReader)
@@ -316,9 +318,9 @@
 	})
 }
 
-// Stop ends the run of a response that another node continues. It reports whether the response was running.
+// Stop ends the run of a response that another node continues. It reports whether the response was running here.
 func (r *Runner) Stop(id string) bool {
-	run := r.get(id)
+	run := r.lookup(id)
 	if run == nil {
 		return false
 	}
