--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// keepAliveInterval is how often a comment is sent on an idle stream, so that both ends notice a silent connection.
+	// keepAliveInterval is how often a comment is sent on an idle stream, so that both ends detect a dead connection.
 	keepAliveInterval = 5 * time.Second
-	// writeTimeout ends a stream whose caller does not read.
+	// writeTimeout bounds a write to a caller that does not read its stream.
 	writeTimeout = 30 * time.Second
-	// eventBufferSize holds the events of one wake-up, usually one token.
+	// eventBufferSize is the initial buffer size for the events sent at once, usually one token.
 	eventBufferSize = 512
 )
 
@@ -27,21 +27,21 @@
 }}
 
 func (g *gateway) encodeGeneration(ctx context.Context, w http.ResponseWriter, response any) error {
-	a := response.(*answer)
-	defer a.generation.Close()
-	log := a.generation.Log
+	resp := response.(*generationResponse)
+	defer resp.generation.Close()
+	log := resp.generation.Log
 	meta := log.Meta()
 	w.Header().Set(HeaderRequestID, meta.ID)
 	var err error
-	if a.request.Stream {
-		err = g.cutOff(g.writeStream(ctx, w, a))
+	if resp.request.Stream {
+		err = g.recordDisconnect(g.writeStream(ctx, w, resp))
 	} else {
-		err = g.writeWhole(ctx, w, a)
+		err = g.writeComplete(ctx, w, resp)
 	}
 	g.Metrics.Observe("response", time.Since(meta.Created))
 	g.Log.WithFields(map[string]any{
 		"request_id": meta.ID,
-		"workspace":  a.workspace,
+		"workspace":  resp.workspace,
 		"attempt":    log.Attempt(),
 		"tokens":     log.Len(),
 		"code":       log.End().Code,
@@ -50,9 +50,9 @@
 	return err
 }
 
-// writeWhole answers when the response is complete.
-func (g *gateway) writeWhole(ctx context.Context, w http.ResponseWriter, a *answer) error {
-	log := a.generation.Log
+// writeComplete waits until the response is complete and sends it in one body.
+func (g *gateway) writeComplete(ctx context.Context, w http.ResponseWriter, resp *generationResponse) error {
+	log := resp.generation.Log
 	changes, cancel := log.Subscribe()
 	defer cancel()
 	for !log.End().Finished {
@@ -64,25 +64,25 @@
 	}
 	end := log.End()
 	if end.Code != code.OK {
-		g.refuse(ctx, endError(end), w)
+		g.refuse(ctx, errorFromEnd(end), w)
 		return nil
 	}
 	tokens := log.Len()
-	prompt := uint32(len(strings.Fields(a.request.Prompt)))
+	prompt := uint32(len(strings.Fields(resp.request.Prompt)))
 	usage := openai.Usage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
 	meta := log.Meta()
-	body, err := openai.Answer(meta.ID, meta.Created, a.request, strings.Join(log.Tokens(0), ""), end.FinishReason, usage)
+	body, err := openai.CompletionBody(meta.ID, meta.Created, resp.request, strings.Join(log.Tokens(0), ""), end.FinishReason, usage)
 	if err != nil {
 		return err
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, err = w.Write(body)
-	return g.cutOff(err)
+	return g.recordDisconnect(err)
 }
 
-// cutOff counts an answer whose caller has gone after its header was sent. It hides the error from go-kit, which
-// would write a refusal with a second header into the answer.
-func (g *gateway) cutOff(err error) error {
+// recordDisconnect counts a response whose caller disconnected after the header was sent. It returns nil to hide the
+// error from go-kit, which would write a refusal with a second header into the body.
+func (g *gateway) recordDisconnect(err error) error {
 	if err != nil {
 		g.Log.WithError(err).Debug("the caller left before the end of the answer")
 		g.Metrics.Refusal(code.CallerGone)
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// endError returns the error that a response ended with. Generation started, so the request ran.
-func endError(end stream.End) *code.Error {
+// errorFromEnd returns the error that a response ended with. Generation had started, so the request ran.
+func errorFromEnd(end stream.End) *code.Error {
 	e := code.New(end.Code, "the response could not be completed").WithRan(code.RanYes)
 	if end.Code == code.RequestQuarantined {
 		return e // a retry is refused as well
@@ -99,39 +99,39 @@
 	return e.After(time.Second)
 }
 
-// writeStream sends the response as server-sent events from the answer's offset on.
-func (g *gateway) writeStream(ctx context.Context, w http.ResponseWriter, a *answer) error {
+// writeStream sends the response as server-sent events, starting at resp.offset.
+func (g *gateway) writeStream(ctx context.Context, w http.ResponseWriter, resp *generationResponse) error {
 	header := w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
 	out := &eventWriter{w: w, control: http.NewResponseController(w)}
 	if err := out.control.Flush(); err != nil {
-		return errNoFlush
+		return errFlush
 	}
 	buf := eventBuffers.Get().(*[]byte)
 	defer eventBuffers.Put(buf)
 	out.buf = *buf
 	defer func() { *buf = out.buf }()
-	return g.relay(ctx, out, a)
+	return g.relay(ctx, out, resp)
 }
 
-func (g *gateway) relay(ctx context.Context, out *eventWriter, a *answer) error {
-	log := a.generation.Log
+func (g *gateway) relay(ctx context.Context, out *eventWriter, resp *generationResponse) error {
+	log := resp.generation.Log
 	meta := log.Meta()
-	events := openai.NewEvents(meta.ID, meta.Created, a.request)
+	events := openai.NewEvents(meta.ID, meta.Created, resp.request)
 	changes, cancel := log.Subscribe()
 	defer cancel()
 	idle := time.NewTimer(keepAliveInterval)
 	defer idle.Stop()
 	emit := func(offset uint32, token []byte) { out.buf = events.AppendToken(out.buf, offset, token) }
-	offset := a.offset
+	offset := resp.offset
 	for {
 		out.buf = out.buf[:0]
 		next, end := log.Read(offset, emit)
 		offset = next
 		if end.Finished {
-			return g.writeEnd(out, events, offset, end)
+			return g.writeFinalEvent(out, events, offset, end)
 		}
 		if len(out.buf) > 0 {
 			if err := out.flush(); err != nil {
@@ -152,15 +152,15 @@
 	}
 }
 
-// writeEnd sends the last event: the finish reason, or the error the response ended with.
-func (g *gateway) writeEnd(out *eventWriter, events *openai.Events, tokens uint32, end stream.End) error {
+// writeFinalEvent sends the last event: the finish reason, or the error that the response ended with.
+func (g *gateway) writeFinalEvent(out *eventWriter, events *openai.Events, tokens uint32, end stream.End) error {
 	if end.Code == code.OK {
 		out.buf = events.AppendFinish(out.buf, tokens, end.FinishReason)
 		return out.flush()
 	}
 	g.Metrics.Refusal(end.Code)
 	out.buf = append(out.buf, "event: error\ndata: "...)
-	out.buf = append(out.buf, endError(end).Body()...)
+	out.buf = append(out.buf, errorFromEnd(end).Body()...)
 	out.buf = append(out.buf, "\n\n"...)
 	return out.flush()
 }
@@ -169,14 +169,14 @@
 	w       http.ResponseWriter
 	control *http.ResponseController
 	buf     []byte
-	// extended is when the write deadline was last moved; moving it for each token costs a system timer update.
-	extended time.Time
+	// deadlineSetAt is when the write deadline was last set. Setting it for each token would cost a timer update each.
+	deadlineSetAt time.Time
 }
 
 func (e *eventWriter) flush() error {
 	now := time.Now()
-	if now.Sub(e.extended) > writeTimeout/2 {
-		e.extended = now
+	if now.Sub(e.deadlineSetAt) > writeTimeout/2 {
+		e.deadlineSetAt = now
 		_ = e.control.SetWriteDeadline(now.Add(writeTimeout))
 	}
 	if _, err := e.w.Write(e.buf); err != nil {
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -17,10 +17,10 @@
 	"github.com/pollenlug/pollenlug/pkg/config"
 )
 
-// forwardedHeaders are the request headers that a plain service receives; the others concern the hop to this node.
+// forwardedHeaders are the request headers forwarded to plain services; the others concern only the hop to this node.
 var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "User-Agent"}
 
-// authenticate returns the workspace of the bearer token and the configuration that knows it.
+// authenticate returns the workspace of the bearer token and the configuration in which it was found.
 func (g *gateway) authenticate(r *http.Request) (*pb.Workspace, *config.Index, error) {
 	index := g.Node.Config()
 	if index == nil {
@@ -37,7 +37,7 @@
 	return workspace, index, nil
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads the request body and refuses one of more than limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, code.New(code.BodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", limit))
@@ -52,8 +52,8 @@
 	return body, nil
 }
 
-// deadline returns when the caller stops waiting.
-func deadline(r *http.Request, limit time.Duration) (time.Time, error) {
+// requestDeadline returns the deadline given by HeaderTimeout, but at most limit from now, which is also the default.
+func requestDeadline(r *http.Request, limit time.Duration) (time.Time, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
 		return time.Now().Add(limit), nil
@@ -85,11 +85,11 @@
 	if err := checkContext(model, request); err != nil {
 		return nil, err
 	}
-	end, err := deadline(r, maxGeneration)
+	deadline, err := requestDeadline(r, maxGenerationTime)
 	if err != nil {
 		return nil, err
 	}
-	return StartRequest{workspace, model, request, r.URL.Path, body, end}, nil
+	return StartRequest{workspace, model, request, r.URL.Path, body, deadline}, nil
 }
 
 func permittedModel(index *config.Index, workspace *pb.Workspace, name string) (config.Model, error) {
@@ -103,10 +103,10 @@
 	return model, nil
 }
 
-// bytesPerToken is above the usual ratio, so that a prompt is called too long only when it surely is.
+// bytesPerToken is above the usual ratio, so that only prompts that are certainly too long are refused.
 const bytesPerToken = 5
 
-// checkContext refuses a request that cannot fit into the model's context.
+// checkContext refuses a request that cannot fit into the model's context window.
 func checkContext(model config.Model, request openai.Request) error {
 	tokens := uint64(len(request.Prompt)/bytesPerToken) + uint64(request.MaxTokens)
 	if tokens > uint64(model.ContextTokens) {
@@ -120,7 +120,7 @@
 	return workspace, err
 }
 
-func decodeCaller(_ context.Context, r *http.Request) (any, error) { return host(r.RemoteAddr), nil }
+func decodeCaller(_ context.Context, r *http.Request) (any, error) { return hostOf(r.RemoteAddr), nil }
 
 type resumeRequest struct {
 	workspace string
@@ -160,19 +160,19 @@
 	if call.Key, err = idempotencyKey(r, call.Route); err != nil {
 		return nil, err
 	}
-	if call.Deadline, err = deadline(r, service.Timeout); err != nil {
+	if call.Deadline, err = requestDeadline(r, service.Timeout); err != nil {
 		return nil, err
 	}
 	body, err := readBody(r, index.Policy().MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
-	call.Request = backend.CallRequest{Method: r.Method, Path: servicePath(r), Header: forwarded(r.Header), Body: body}
+	call.Request = backend.CallRequest{Method: r.Method, Path: servicePath(r), Header: forwardHeader(r.Header), Body: body}
 	return call, nil
 }
 
-// servicePath returns path and query as the service receives them, escaped as the caller sent them: a decoded "%3F"
-// would begin a query.
+// servicePath returns the path and query for the service, escaped as the caller sent them: a decoded "%3F" would start a
+// query.
 func servicePath(r *http.Request) string {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), "/s/")
 	_, path, _ := strings.Cut(rest, "/")
@@ -182,7 +182,7 @@
 	return "/" + path
 }
 
-// idempotencyKey returns the key, which only non-repeatable routes require.
+// idempotencyKey returns the value of the Idempotency-Key header, which only non-repeatable routes require.
 func idempotencyKey(r *http.Request, route *pb.Route) (string, error) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
@@ -194,7 +194,7 @@
 	return key, nil
 }
 
-func forwarded(in http.Header) http.Header {
+func forwardHeader(in http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range forwardedHeaders {
 		if value := in.Get(name); value != "" {
@@ -204,4 +204,4 @@
 	return out
 }
 
-var errNoFlush = errors.New("gateway: the connection cannot be flushed")
+var errFlush = errors.New("gateway: cannot flush the connection")
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,8 +12,8 @@
 	"github.com/pollenlug/pollenlug/pkg/config"
 )
 
-// answer is a generation on its way to the caller.
-type answer struct {
+// generationResponse is a generation that is being sent to the caller.
+type generationResponse struct {
 	generation *Generation
 	request    openai.Request
 	offset     uint32
@@ -26,10 +26,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &answer{generation: generation, request: start.Request, workspace: start.Workspace.Name}, nil
+	return &generationResponse{generation: generation, request: start.Request, workspace: start.Workspace.Name}, nil
 }
 
-// resume attaches to a response; the answer is always a stream, from the event after Last-Event-ID.
+// resume attaches to a response. It is always sent as a stream that starts after the event in Last-Event-ID.
 func (g *gateway) resume(ctx context.Context, request any) (any, error) {
 	in := request.(resumeRequest)
 	generation, err := g.Responses.Attach(ctx, in.workspace, in.id)
@@ -47,7 +47,7 @@
 		return nil, code.New(code.InvalidEventID, "Last-Event-ID is not an event of this response").WithRan(code.RanYes)
 	}
 	original.Stream = true
-	return &answer{generation, original, in.offset, in.workspace}, nil
+	return &generationResponse{generation, original, in.offset, in.workspace}, nil
 }
 
 func (g *gateway) models(_ context.Context, request any) (any, error) {
@@ -68,7 +68,7 @@
 func (g *gateway) encodeBody(_ context.Context, w http.ResponseWriter, response any) error {
 	w.Header().Set("Content-Type", "application/json")
 	_, err := w.Write(response.([]byte))
-	return g.cutOff(err)
+	return g.recordDisconnect(err)
 }
 
 func (g *gateway) call(ctx context.Context, request any) (any, error) {
@@ -93,16 +93,16 @@
 	header.Set("Content-Length", strconv.Itoa(len(out.Body)))
 	w.WriteHeader(out.Status)
 	_, err := w.Write(out.Body)
-	return g.cutOff(err)
+	return g.recordDisconnect(err)
 }
 
-type entriesAnswer struct {
+type entriesResponse struct {
 	Entries    []Entry `json:"entries"`
 	TTLSeconds int     `json:"ttl_seconds"`
 }
 
 func (g *gateway) entries(_ context.Context, request any) (any, error) {
-	return entriesAnswer{g.Node.Entries(request.(string)), int(entriesTTL.Seconds())}, nil
+	return entriesResponse{g.Node.Entries(request.(string)), int(entriesTTL.Seconds())}, nil
 }
 
 func (g *gateway) status(context.Context, any) (any, error) { return g.Node.Status(), nil }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway is the HTTP edge of an entry node: go-kit endpoints behind net/http.
+// Package gateway is the HTTP interface of an entry node to its callers: go-kit endpoints behind net/http.
 //
-// The gateway authenticates, checks sizes and forms, and turns every error into a refusal with a numbered code. It
-// decides nothing about servers or limits; the parts that do are the small interfaces declared here. An
-// authentication failure is found before the body is read.
+// The gateway authenticates callers, validates the size and format of requests, and turns every error into a refusal
+// with a numeric code. It makes no decisions about servers or limits; these are behind the small interfaces declared
+// here. Authentication failures are detected before the body is read.
 package gateway
 
 import (
@@ -23,32 +23,32 @@
 	"github.com/pollenlug/pollenlug/pkg/stream"
 )
 
-// Headers of the interface to callers.
+// HTTP headers exchanged with callers.
 const (
 	HeaderCode           = "X-Pollenlug-Code"
-	HeaderTimeout        = "X-Pollenlug-Timeout-Ms" // how long the caller waits for the whole answer, in milliseconds
+	HeaderTimeout        = "X-Pollenlug-Timeout-Ms" // how long the caller waits for the complete response, in milliseconds
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderLastEventID    = "Last-Event-ID"
 )
 
-// Limits of the edge.
+// Limits of the gateway.
 const (
 	maxIdempotencyKeyBytes = 255
-	// maxGeneration bounds a generation whose caller states no timeout.
-	maxGeneration = 10 * time.Minute
-	// entriesTTL is how long callers may keep the answer of /v1/entries.
+	// maxGenerationTime bounds a generation, and is its timeout if the caller gives none.
+	maxGenerationTime = 10 * time.Minute
+	// entriesTTL is how long callers may cache the response of /v1/entries.
 	entriesTTL = 30 * time.Second
 )
 
 // Generation is an accepted or attached response that is being read.
 type Generation struct {
 	Log *stream.Log
-	// Close tells that this reader has ended.
+	// Close must be called when the caller no longer reads the log.
 	Close func()
 }
 
-// StartRequest is a generation request after the checks of the edge.
+// StartRequest is a generation request that has passed the gateway's checks.
 type StartRequest struct {
 	Workspace *pb.Workspace
 	Model     config.Model
@@ -66,7 +66,7 @@
 	Attach(ctx context.Context, workspace, id string) (*Generation, error)
 }
 
-// ServiceCall is a call to a plain service after the checks of the edge.
+// ServiceCall is a call to a plain service that has passed the gateway's checks.
 type ServiceCall struct {
 	Workspace *pb.Workspace
 	Service   *config.Service
@@ -81,7 +81,7 @@
 	Call(ctx context.Context, call ServiceCall) (backend.CallResponse, error)
 }
 
-// Entry is one address for callers.
+// Entry is an entry node that callers can use.
 type Entry struct {
 	Addr          string `json:"addr"`
 	Region        string `json:"region"`
@@ -89,20 +89,20 @@
 	Load          uint32 `json:"load"`
 }
 
-// Node is what the edge asks its entry node.
+// Node is the entry node as the gateway sees it.
 type Node interface {
 	// Config returns the configuration in force, or nil.
 	Config() *config.Index
 	// Entries returns the live entry nodes, best first for the caller.
 	Entries(caller string) []Entry
-	// Leaving tells that the node takes no new work.
+	// Leaving reports whether the node accepts no new work.
 	Leaving() bool
 	Ready() bool
-	// Status returns a value that is shown as JSON.
+	// Status returns a value that /v1/status encodes as JSON.
 	Status() any
 }
 
-// Options are the parts of a gateway.
+// Options holds the dependencies of a gateway.
 type Options struct {
 	Node      Node
 	Responses Responses
@@ -119,80 +119,80 @@
 func New(opts Options) http.Handler {
 	g := &gateway{opts}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+openai.ChatPath, g.work(g.server(g.generate, g.decodeGeneration, g.encodeGeneration)))
-	mux.Handle("POST "+openai.CompletionPath, g.work(g.server(g.generate, g.decodeGeneration, g.encodeGeneration)))
+	mux.Handle("POST "+openai.ChatPath, g.redirectIfLeaving(g.server(g.generate, g.decodeGeneration, g.encodeGeneration)))
+	mux.Handle("POST "+openai.CompletionPath, g.redirectIfLeaving(g.server(g.generate, g.decodeGeneration, g.encodeGeneration)))
 	mux.Handle("GET /v1/models", g.server(g.models, g.decodeWorkspace, g.encodeBody))
 	mux.Handle("GET /v1/responses/{id}", g.server(g.resume, g.decodeResume, g.encodeGeneration))
-	mux.Handle("/s/{service}/{path...}", g.work(g.server(g.call, g.decodeCall, g.encodeCall)))
+	mux.Handle("/s/{service}/{path...}", g.redirectIfLeaving(g.server(g.call, g.decodeCall, g.encodeCall)))
 	mux.Handle("GET /v1/entries", g.server(g.entries, decodeCaller, kithttp.EncodeJSONResponse))
 	mux.Handle("GET /v1/status", g.server(g.status, decodeCaller, kithttp.EncodeJSONResponse))
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { plain(w, http.StatusOK, "ok\n") })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "ok\n") })
 	mux.HandleFunc("GET /readyz", g.readyz)
 	mux.Handle("GET /metrics", opts.Metrics)
-	mux.HandleFunc("/", g.unmatched)
+	mux.HandleFunc("/", g.notFound)
 	return mux
 }
 
-// server builds a go-kit server whose errors become coded refusals.
+// server returns a go-kit server whose errors become refusals with a code.
 func (g *gateway) server(endpoint func(context.Context, any) (any, error), decode kithttp.DecodeRequestFunc,
 	encode kithttp.EncodeResponseFunc) http.Handler {
 	return kithttp.NewServer(g.observe(endpoint), decode, encode, kithttp.ServerErrorEncoder(g.refuse))
 }
 
-// observe records how long an endpoint took until it accepted or refused.
-func (g *gateway) observe(next func(context.Context, any) (any, error)) func(context.Context, any) (any, error) {
+// observe records how long an endpoint takes to accept or refuse a request.
+func (g *gateway) observe(endpoint func(context.Context, any) (any, error)) func(context.Context, any) (any, error) {
 	return func(ctx context.Context, request any) (any, error) {
 		begin := time.Now()
-		response, err := next(ctx, request)
+		response, err := endpoint(ctx, request)
 		g.Metrics.Observe("accept", time.Since(begin))
 		return response, err
 	}
 }
 
-// work sends callers of a leaving node to a live one before anything of the request is read.
-func (g *gateway) work(next http.Handler) http.Handler {
+// redirectIfLeaving redirects the callers of a leaving node to a live one before the request body is read.
+func (g *gateway) redirectIfLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !g.Node.Leaving() {
 			next.ServeHTTP(w, r)
 			return
 		}
-		entries := g.Node.Entries(host(r.RemoteAddr))
+		entries := g.Node.Entries(hostOf(r.RemoteAddr))
 		if len(entries) == 0 {
 			g.refuse(r.Context(), code.New(code.NodeLeaving, "the entry node is leaving").After(time.Second), w)
 			return
 		}
 		w.Header().Set("Connection", "close") // the next request should go to the other node at once
-		w.Header().Set("Location", scheme(r)+"://"+entries[0].Addr+r.URL.RequestURI())
+		w.Header().Set("Location", schemeOf(r)+"://"+entries[0].Addr+r.URL.RequestURI())
 		refuseWith(w, g.Metrics, code.New(code.NodeLeaving, "the entry node is leaving; use the node in Location"), http.StatusTemporaryRedirect)
 	})
 }
 
 func (g *gateway) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !g.Node.Ready() {
-		plain(w, http.StatusServiceUnavailable, "not ready\n")
+		writeText(w, http.StatusServiceUnavailable, "not ready\n")
 		return
 	}
-	plain(w, http.StatusOK, "ready\n")
+	writeText(w, http.StatusOK, "ready\n")
 }
 
-func (g *gateway) unmatched(w http.ResponseWriter, r *http.Request) {
+func (g *gateway) notFound(w http.ResponseWriter, r *http.Request) {
 	g.refuse(r.Context(), code.New(code.NotFound, "the path does not exist or does not take this method"), w)
 }
 
-func plain(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(text))
 }
 
-func scheme(r *http.Request) string {
+func schemeOf(r *http.Request) string {
 	if r.TLS != nil {
 		return "https"
 	}
 	return "http"
 }
 
-func host(addr string) string {
+func hostOf(addr string) string {
 	name, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return addr
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -10,7 +10,7 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// refuse answers with the error's code. It is the error encoder of all endpoints.
+// refuse sends an error response with the error's code. It is the error encoder of all endpoints.
 func (g *gateway) refuse(ctx context.Context, err error, w http.ResponseWriter) {
 	e := code.From(err)
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -22,12 +22,12 @@
 	Refuse(w, g.Metrics, e)
 }
 
-// Refuse answers a request with a code and counts it.
+// Refuse sends an error response with the code of e and counts the refusal.
 func Refuse(w http.ResponseWriter, counters *metrics.Set, e *code.Error) {
 	refuseWith(w, counters, e, e.Code.Info().Status)
 }
 
-// refuseWith is Refuse with another HTTP status.
+// refuseWith is like Refuse but with the given HTTP status.
 func refuseWith(w http.ResponseWriter, counters *metrics.Set, e *code.Error, status int) {
 	counters.Refusal(e.Code)
 	header := w.Header()
--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// Usage counts the tokens of a whole answer.
+// Usage is the token usage of a complete response.
 type Usage struct {
 	PromptTokens     uint32 `json:"prompt_tokens"`
 	CompletionTokens uint32 `json:"completion_tokens"`
@@ -35,8 +35,8 @@
 	Content string `json:"content"`
 }
 
-// Answer returns the body of a complete answer.
-func Answer(id string, created time.Time, req Request, text, finishReason string, usage Usage) ([]byte, error) {
+// CompletionBody returns the body of a completion that is not streamed.
+func CompletionBody(id string, created time.Time, req Request, text, finishReason string, usage Usage) ([]byte, error) {
 	out := completion{ID: id, Created: created.Unix(), Model: req.Model, Usage: usage}
 	c := choice{FinishReason: finishReason}
 	if req.Chat {
@@ -61,7 +61,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// Models returns the body of the list of models.
+// Models returns the body of the model list.
 func Models(names []string) ([]byte, error) {
 	out := modelList{Object: "list", Data: make([]modelItem, 0, len(names))}
 	for _, name := range names {
@@ -70,32 +70,33 @@
 	return json.Marshal(out)
 }
 
-// Events formats the server-sent events of one response. The parts that do not change between events are built
-// once, since a node relays thousands of tokens a second.
+// Events formats the server-sent events of one response. The parts common to all events are built only once, since a node
+// relays thousands of tokens per second.
 type Events struct {
 	prefix, middle, tail string
 }
 
-// NewEvents returns the formatter of a response.
+// NewEvents returns the event formatter for a response.
 func NewEvents(id string, created time.Time, req Request) *Events {
 	object, field, closing := "text_completion", `"text":`, ""
 	if req.Chat {
 		object, field, closing = "chat.completion.chunk", `"delta":{"content":`, "}"
 	}
-	head, _ := json.Marshal(struct {
+	header, _ := json.Marshal(struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
 		Created int64  `json:"created"`
 		Model   string `json:"model"`
 	}{id, object, created.Unix(), req.Model})
 	return &Events{
-		prefix: "\ndata: " + string(head[:len(head)-1]) + `,"choices":[{"index":0,` + field,
+		prefix: "\ndata: " + string(header[:len(header)-1]) + `,"choices":[{"index":0,` + field,
 		middle: closing + `,"finish_reason":`,
 		tail:   "}]}\n\n",
 	}
 }
 
-// AppendToken appends the event of one token. The event's id is the number of tokens up to and including it.
+// AppendToken appends the event of the token at the given offset. The event's id is offset+1, the number of tokens up to
+// and including this one.
 func (e *Events) AppendToken(dst []byte, offset uint32, token []byte) []byte {
 	dst = append(dst, "id: "...)
 	dst = strconv.AppendUint(dst, uint64(offset)+1, 10)
@@ -106,7 +107,7 @@
 	return append(dst, e.tail...)
 }
 
-// AppendFinish appends the event with the finish reason and the end mark.
+// AppendFinish appends the event with the finish reason and the "[DONE]" marker.
 func (e *Events) AppendFinish(dst []byte, tokens uint32, reason string) []byte {
 	dst = append(dst, "id: "...)
 	dst = strconv.AppendUint(dst, uint64(tokens), 10)
@@ -120,7 +121,7 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends text as a JSON string. Invalid UTF-8 becomes the replacement character.
+// appendString appends text as a JSON string. Invalid UTF-8 is replaced by U+FFFD.
 func appendString(dst, text []byte) []byte {
 	dst = append(dst, '"')
 	for i := 0; i < len(text); {
--- a/internal/openai/openai_test.go
+++ b/internal/openai/openai_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against malformed requests that are accepted, and against errors that do not name the place.
-func TestParseRequestNamesTheFault(t *testing.T) {
+// Guards against malformed requests that are accepted, and against errors that do not name the invalid field.
+func TestParseRequestErrors(t *testing.T) {
 	for _, tc := range []struct{ path, body, want string }{
 		{ChatPath, `{"model":"m"`, "the body is not a JSON object"},
 		{ChatPath, `[]`, "the body is not a JSON object"},
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against panics and invalid state from hostile bodies, and against events that are not valid JSON.
+// Guards against panics and incomplete requests from malformed bodies, and against events that are not valid JSON.
 func FuzzParseRequest(f *testing.F) {
 	f.Add(true, []byte(`{"model":"m","messages":[{"role":"user","content":"hello"}],"stream":true}`))
 	f.Add(true, []byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a\u0000\"b"}]}]}`))
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -1,5 +1,5 @@
-// Package openai reads requests and writes answers in the OpenAI-compatible forms of chat completions, completions
-// and the list of models. Unknown request fields are ignored, since clients send many that engines do not need.
+// Package openai parses requests and formats responses of the OpenAI-compatible API: chat completions, completions and
+// the model list. Unknown request fields are ignored, since clients send many that engines do not need.
 package openai
 
 import (
@@ -10,19 +10,19 @@
 	"strings"
 )
 
-// Paths of the two generation calls.
+// Paths of the generation endpoints.
 const (
 	ChatPath       = "/v1/chat/completions"
 	CompletionPath = "/v1/completions"
 )
 
-// DefaultMaxTokens is the answer length of a request that does not state one.
+// DefaultMaxTokens is the maximum response length, in tokens, of a request that does not set one.
 const DefaultMaxTokens = 512
 
-// Request is one generation request.
+// Request is a parsed generation request.
 type Request struct {
 	Chat      bool
-	Model     string // as the caller named it, with the adapter
+	Model     string // as named by the caller, including the adapter if any
 	Prompt    string
 	MaxTokens uint32
 	Stream    bool
@@ -50,12 +50,12 @@
 	Text string `json:"text"`
 }
 
-// ParseRequest reads the body of a call to path. Its errors are fit for callers.
+// ParseRequest parses the body of a request to path. Its error messages are written for callers.
 func ParseRequest(path string, body []byte) (Request, error) {
 	var wire wireRequest
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(&wire); err != nil {
-		return Request{}, describe(err)
+		return Request{}, describeDecodeError(err)
 	}
 	if decoder.More() {
 		return Request{}, errors.New("the body has data after the JSON object")
@@ -96,22 +96,22 @@
 	return *limit, nil
 }
 
-// describe turns a decoding error into a text that names the place but no Go type.
-func describe(err error) error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+// describeDecodeError converts a JSON decoding error into one that names the location but no Go types.
+func describeDecodeError(err error) error {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
-		return fmt.Errorf("invalid JSON at byte %d", syntax.Offset)
-	case errors.As(err, &kind) && kind.Field != "":
-		return fmt.Errorf("field %q has the wrong type", kind.Field)
+	case errors.As(err, &syntaxErr):
+		return fmt.Errorf("invalid JSON at byte %d", syntaxErr.Offset)
+	case errors.As(err, &typeErr) && typeErr.Field != "":
+		return fmt.Errorf("field %q has the wrong type", typeErr.Field)
 	default:
 		return errors.New("the body is not a JSON object")
 	}
 }
 
-// chatPrompt joins the messages; a line break and the role separate them, so that equal openings of two chats
-// give equal prompt prefixes.
+// chatPrompt joins the messages into a prompt, each as "role: text" and a line break, so that chats with the same initial
+// messages have the same prompt prefix.
 func chatPrompt(messages []wireMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", errors.New("messages is missing or empty")
@@ -133,7 +133,7 @@
 	return prompt.String(), nil
 }
 
-// contentText reads a content field: a string, or a list of parts of which the text parts count.
+// contentText returns the text of a content field: a string, or a list of parts whose text parts are joined.
 func contentText(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", nil
