--- a/pkg/stream/log.go
+++ b/pkg/stream/log.go
@@ -1,15 +1,15 @@
-// Package stream keeps the token log of each response, the state that lets an answer outlive the backend server and
-// the entry node that produce it.
+// Package stream keeps the token log of each response, the state that lets a response survive the failure of the backend
+// server and of the entry node that produce it.
 //
 // # Design
 //
 // A log is an append-only sequence of tokens with one writer, the current attempt. Attempts are numbered from 1 and
-// only the newest may append, so a late answer of an older attempt is dropped. Each append names the offset of its
-// first token: tokens the log has already are dropped, and a gap is an error that ends the attempt. The caller
-// therefore receives each token once and in order, whichever backend server produced it.
+// only the latest may append, so late output of an earlier attempt is dropped. Each append gives the offset of its first
+// token: tokens that the log already has are dropped, and a gap is an error that ends the attempt. The caller therefore
+// receives each token exactly once and in order, whichever backend server produced it.
 //
 // The log is kept on the home node, which runs the attempts, and on one replica in another failure domain. Both keep
-// it for the retention time after the last token, so that the caller can resume on any entry node.
+// it for the retention time after its last change, so that the caller can resume on any entry node.
 package stream
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// Errors of Append, Finish and Fail.
+// Errors of Append, Finish and Apply.
 var (
 	// ErrStaleAttempt means that a newer attempt has begun.
 	ErrStaleAttempt = errors.New("stream: attempt is stale")
@@ -31,22 +31,22 @@
 	ErrFinished = errors.New("stream: response is finished")
 )
 
-// Meta is what a log knows about its response from the start.
+// Meta describes a response. All fields but Home are fixed from the start.
 type Meta struct {
 	ID        string
 	Workspace string
 	// Home is the node that runs the attempts.
 	Home string
-	// Path is the path of the call, which decides the form of the answer.
+	// Path is the path of the request, which determines the format of the response.
 	Path string
-	// Request is the caller's request, as received.
+	// Request is the request body as received.
 	Request []byte
 	Created time.Time
 	// Deadline ends the generation; zero means none.
 	Deadline time.Time
 }
 
-// End tells how a response ended.
+// End describes how a response ended; Finished is false while it has not.
 type End struct {
 	Finished     bool
 	FinishReason string    // stop or length
@@ -58,15 +58,15 @@
 	mu      sync.Mutex
 	meta    Meta
 	attempt uint32
-	// server runs the newest attempt.
+	// server is the backend server of the latest attempt.
 	server string
-	// text holds all tokens; ends[i] is the end of token i in text.
-	text      []byte
-	ends      []uint32
-	end       End
-	changedAt time.Time
-	readers   []chan struct{}
-	readerGen uint64 // counts subscriptions
+	// text is the concatenation of all tokens; ends[i] is the end of token i in text.
+	text          []byte
+	ends          []uint32
+	end           End
+	changedAt     time.Time
+	readers       []chan struct{}
+	subscriptions uint64 // number of subscriptions ever made
 }
 
 // NewLog returns an empty log.
@@ -81,14 +81,14 @@
 	return l.meta
 }
 
-// SetHome records another home node.
+// SetHome changes the home node.
 func (l *Log) SetHome(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.meta.Home = node
 }
 
-// Begin starts a new attempt and returns its number. Appends of older attempts fail from now on.
+// Begin starts a new attempt and returns its number. From then on, appends of earlier attempts fail.
 func (l *Log) Begin() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,28 +96,29 @@
 	return l.attempt
 }
 
-// SetServer records the backend server of the newest attempt.
+// SetServer records the backend server of the latest attempt.
 func (l *Log) SetServer(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server = server
 }
 
-// Server returns the backend server of the newest attempt, or "".
+// Server returns the backend server of the latest attempt, or "" if none is recorded.
 func (l *Log) Server() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.server
 }
 
-// Attempt returns the number of the newest attempt.
+// Attempt returns the number of the latest attempt; 0 means that none has started.
 func (l *Log) Attempt() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.attempt
 }
 
-// Append adds the tokens from offset on and returns how many were new.
+// Append adds tokens, the first of which is at the given offset, and returns how many were new. It returns ErrFinished,
+// ErrStaleAttempt or ErrGap if the log cannot take them.
 func (l *Log) Append(attempt, offset uint32, tokens []string, now time.Time) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,19 +129,19 @@
 	if offset > have {
 		return 0, ErrGap
 	}
-	known := have - offset
-	if known >= uint32(len(tokens)) {
+	duplicates := have - offset
+	if duplicates >= uint32(len(tokens)) {
 		return 0, nil
 	}
-	for _, token := range tokens[known:] {
+	for _, token := range tokens[duplicates:] {
 		l.text = append(l.text, token...)
 		l.ends = append(l.ends, uint32(len(l.text)))
 	}
-	l.changed(now)
-	return len(tokens) - int(known), nil
+	l.notifyReaders(now)
+	return len(tokens) - int(duplicates), nil
 }
 
-// checkAttempt accepts the newest attempt; a replica learns of newer attempts from their appends.
+// checkAttempt accepts the latest attempt or a later one; a replica learns of later attempts from their appends.
 func (l *Log) checkAttempt(attempt uint32) error {
 	if l.end.Finished {
 		return ErrFinished
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// Finish marks the response as ended. Only the newest attempt can end it.
+// Finish marks the response as finished. Only the latest attempt can finish it; an earlier one gets ErrStaleAttempt, and
+// a finished response ErrFinished.
 func (l *Log) Finish(attempt uint32, reason string, c code.Code, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,12 +162,12 @@
 		return err
 	}
 	l.end = End{Finished: true, FinishReason: reason, Code: c}
-	l.changed(now)
+	l.notifyReaders(now)
 	return nil
 }
 
-// changed wakes the readers; the lock is held.
-func (l *Log) changed(now time.Time) {
+// notifyReaders records the time of a change and wakes the readers. l.mu must be held.
+func (l *Log) notifyReaders(now time.Time) {
 	l.changedAt = now
 	for _, reader := range l.readers {
 		select {
@@ -175,13 +177,14 @@
 	}
 }
 
-// Subscribe returns a channel that receives after each change, and a function that ends the subscription.
+// Subscribe returns a channel that receives a value after changes, and a function that ends the subscription. Changes
+// that occur before the value is received are coalesced.
 func (l *Log) Subscribe() (changes <-chan struct{}, cancel func()) {
 	reader := make(chan struct{}, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readers = append(l.readers, reader)
-	l.readerGen++
+	l.subscriptions++
 	return reader, func() { l.unsubscribe(reader) }
 }
 
@@ -196,15 +199,15 @@
 	}
 }
 
-// Readers returns the number of open subscriptions and how many there have been.
+// Readers returns the number of open subscriptions and the number ever made.
 func (l *Log) Readers() (open int, total uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.readers), l.readerGen
+	return len(l.readers), l.subscriptions
 }
 
-// Read calls emit for each token from offset on and returns the next offset and the end. The log is locked during the
-// calls: emit must not block, call the log or keep the token.
+// Read calls emit for each token from offset on, and returns the next offset and the end. The log is locked during the
+// calls, so emit must not block or call methods of the log. It must not retain the token either.
 func (l *Log) Read(offset uint32, emit func(offset uint32, token []byte)) (next uint32, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,7 +230,7 @@
 	return uint32(len(l.ends))
 }
 
-// End returns how the response ended, if it did.
+// End returns how the response ended, or the zero End while it has not.
 func (l *Log) End() End {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +260,7 @@
 	return out
 }
 
-// Progress returns the tokens from offset on and the end in the form that other nodes receive.
+// Progress returns the tokens from offset on and the end, in the form sent to other nodes.
 func (l *Log) Progress(offset uint32) *pb.StreamProgress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,7 +276,7 @@
 	}
 }
 
-// Apply adds progress received from another node.
+// Apply adds progress received from another node. It returns the errors of Append and Finish.
 func (l *Log) Apply(p *pb.StreamProgress, now time.Time) error {
 	if _, err := l.Append(p.Attempt, p.Offset, p.Tokens, now); err != nil {
 		return err
@@ -287,7 +290,7 @@
 	return l.Finish(p.Attempt, p.FinishReason, code.Code(p.Code), now)
 }
 
-// Open returns the description in the form that a replica receives.
+// Open returns the description of the response in the form sent to a replica.
 func (l *Log) Open() *pb.StreamOpen {
 	meta := l.Meta()
 	out := &pb.StreamOpen{
@@ -304,7 +307,7 @@
 	return out
 }
 
-// MetaFrom returns the description received with a StreamOpen.
+// MetaFrom converts a received StreamOpen into a Meta.
 func MetaFrom(open *pb.StreamOpen) Meta {
 	meta := Meta{
 		ID:        open.ResponseId,
--- a/pkg/stream/log_test.go
+++ b/pkg/stream/log_test.go
@@ -12,8 +12,9 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// Guards against tokens of a late attempt in the answer, and against lost or repeated tokens, when attempts overlap.
-func TestAppendKeepsOneOrderAcrossAttempts(t *testing.T) {
+// Guards against late tokens of an earlier attempt in the response, and against lost or repeated tokens, when attempts
+// overlap.
+func TestAppendAcrossOverlappingAttempts(t *testing.T) {
 	now := time.Unix(0, 0)
 	log := NewLog(Meta{ID: "r"}, now)
 	first := log.Begin()
@@ -36,8 +37,8 @@
 	assert.Equal(t, strings.Join(log.Tokens(0), ""), "abcd")
 }
 
-// Guards against a replica that differs from the home node after repeated, overlapping and reordered progress.
-func TestReplicaEqualsHomeUnderReorderedProgress(t *testing.T) {
+// Guards against a replica log that differs from the home node's after progress that repeats, overlaps or leaves gaps.
+func TestReplicaEqualsHomeUnderRepeatedProgress(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(0, 0)
 	home, replica := NewLog(Meta{ID: "r"}, now), NewLog(Meta{ID: "r"}, now)
@@ -60,8 +61,8 @@
 	assert.DeepEqual(t, replica.Tokens(0), home.Tokens(0))
 }
 
-// Guards against a log that disappears while a caller still reads it, and against logs that stay forever.
-func TestExpireSparesLogsWithReaders(t *testing.T) {
+// Guards against a log that expires while a caller still reads it, and against logs that never expire.
+func TestExpireKeepsLogsWithReaders(t *testing.T) {
 	now := time.Unix(0, 0)
 	store := NewStore()
 	read := store.Add(NewLog(Meta{ID: "read"}, now))
--- a/pkg/stream/store.go
+++ b/pkg/stream/store.go
@@ -8,7 +8,7 @@
 
 const storeShards = 32
 
-// Store holds the logs of a node, in shards that each have their own lock.
+// Store holds the logs of a node in shards, each with its own lock.
 type Store struct {
 	seed   maphash.Seed
 	shards [storeShards]storeShard
@@ -32,20 +32,20 @@
 	return &s.shards[maphash.String(s.seed, id)%storeShards]
 }
 
-// Add stores a log unless there is one with its id; it returns the stored log.
+// Add stores a log unless one with the same id exists. It returns the stored log.
 func (s *Store) Add(log *Log) *Log {
 	id := log.Meta().ID
 	shard := s.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if known, ok := shard.logs[id]; ok {
-		return known
+	if existing, ok := shard.logs[id]; ok {
+		return existing
 	}
 	shard.logs[id] = log
 	return log
 }
 
-// Get returns the log with the id, or nil.
+// Get returns the log with the given id, or nil.
 func (s *Store) Get(id string) *Log {
 	shard := s.shard(id)
 	shard.mu.Lock()
@@ -53,7 +53,7 @@
 	return shard.logs[id]
 }
 
-// Remove drops a log, for a response that was never accepted.
+// Remove deletes the log of a response that was never accepted.
 func (s *Store) Remove(id string) {
 	shard := s.shard(id)
 	shard.mu.Lock()
@@ -77,21 +77,22 @@
 	}
 }
 
-// Expire drops the logs that have not changed for the retention time and have no reader. It returns how many.
+// Expire deletes the logs that have not changed for longer than the retention time and have no reader. It returns how
+// many it deleted.
 func (s *Store) Expire(now time.Time, retention time.Duration) int {
-	dropped := 0
+	expired := 0
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.Lock()
 		for id, log := range shard.logs {
 			if log.expired(now, retention) {
 				delete(shard.logs, id)
-				dropped++
+				expired++
 			}
 		}
 		shard.mu.Unlock()
 	}
-	return dropped
+	return expired
 }
 
 // Len returns the number of logs.
