--- a/internal/fleetholder/act.go
+++ b/internal/fleetholder/act.go
@@ -62,7 +62,7 @@
 func (t *term) start(ctx context.Context, s *pb.FleetStart) error {
 	return t.withLease(ctx, func(ctx context.Context, _ uint64) error {
 		instance, err := t.f.Cloud.Start(ctx, platform.StartRequest{
-			Token:         token(s),
+			Token:         startToken(s),
 			Kind:          platform.InstanceKind(s.Kind),
 			BackendGroup:  s.BackendGroup,
 			InstanceClass: s.InstanceClass,
--- a/internal/fleetholder/decide.go
+++ b/internal/fleetholder/decide.go
@@ -166,7 +166,7 @@
 		_, seen := t.seen[s.Instance]
 		if (s.Instance == "" || !present[s.Instance]) && !seen {
 			out = append(out, fleet.Server{
-				ID:          token(s),
+				ID:          startToken(s),
 				Group:       s.BackendGroup,
 				Class:       s.InstanceClass,
 				Domain:      s.FailureDomain,
--- a/internal/fleetholder/harness_test.go
+++ b/internal/fleetholder/harness_test.go
@@ -275,8 +275,8 @@
 // pauseIfAt pauses the node if the point is its pause point.
 func (n *testNode) pauseIfAt(point string) {
 	n.mu.Lock()
-	here := n.pausePoint == point
-	if here {
+	matches := n.pausePoint == point
+	if matches {
 		n.pausePoint, n.pausedUntil = "", time.Now().Add(5*time.Minute)
 	}
 	n.mu.Unlock()
--- a/internal/fleetholder/holder.go
+++ b/internal/fleetholder/holder.go
@@ -209,8 +209,8 @@
 	return fn(ctx, fencing)
 }
 
-// token returns the idempotency token of a start.
-func token(s *pb.FleetStart) string {
+// startToken returns the idempotency token of a start.
+func startToken(s *pb.FleetStart) string {
 	kind := "on-demand"
 	if s.Reclaimable {
 		kind = "reclaimable"
--- a/internal/fleetholder/term.go
+++ b/internal/fleetholder/term.go
@@ -161,7 +161,7 @@
 	})
 }
 
-// readPrices refreshes the prices every pricesInterval and keeps the last ones when the read fails.
+// readPrices refreshes prices older than pricesInterval and keeps the last ones if the read fails.
 func (t *term) readPrices(ctx context.Context) {
 	if time.Since(t.pricesAt) < pricesInterval {
 		return
--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -3,8 +3,8 @@
 // # Design
 //
 // A response is accepted once it has a log here and on a replica; from then on, this node is responsible for completing
-// it. One goroutine runs the attempts one after another. An attempt continues from the tokens in the log, so a failed
-// backend server costs the prefill of what the next server has not cached, but never a token of the response.
+// it. One goroutine runs the attempts one after another. An attempt continues from the tokens in the log, so the failure
+// of a backend server costs the prefill of what the next server has not cached, but never a token of the response.
 //
 // When a backend server is leaving, each of its responses takes the cheapest option: finish on that server if the
 // expected remaining time fits into the notice, move with its KV cache to another server, or recompute on another
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -48,7 +48,7 @@
 	os.Exit(m.Run())
 }
 
-var errLinkDown = errors.New("test: no answer")
+var errLinkDown = errors.New("test: no reply")
 
 // cluster has nodes with real replicators and runners, and fake servers that generate "t0 t1 ...".
 type cluster struct {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -44,7 +44,8 @@
 	appendTimeout = time.Second
 	// confirmTimeout bounds how long a token is delayed by an unresponsive replica.
 	confirmTimeout = 100 * time.Millisecond
-	// unresponsivePeriod is how long a node that failed to open a replica or accept a handover is not asked again.
+	// unresponsivePeriod is how long responsiveCandidates skips a node that did not reply to an open or did not accept a
+	// handover.
 	unresponsivePeriod = 3 * time.Second
 	// maxAppendFailures is the number of consecutive failed messages after which another replica is chosen.
 	maxAppendFailures = 2
@@ -84,7 +85,7 @@
 	replicas     map[string]*replicaState
 	dirty        map[string]*stream.Log
 	mirrors      map[string]*mirror
-	unresponsive map[string]time.Time // when nodes last failed to reply to an open or a handover
+	unresponsive map[string]time.Time // when nodes last failed to reply to an open or to accept a handover
 }
 
 // replicaState is the home node's view of the replica of one log. Only Run changes it after Open.
