--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -47,7 +47,7 @@
 	n.finishWork(ctx, deadline)
 	last, cancel := context.WithTimeout(context.Background(), copyTimeout)
 	defer cancel()
-	n.replicator.PassOnCopies(last)
+	n.replicator.TransferReplicas(last)
 	n.log.WithField("open_requests", n.openRequests.Load()).Info("node has drained")
 }
 
--- a/internal/replica/leave.go
+++ b/internal/replica/leave.go
@@ -46,9 +46,9 @@
 	wg.Wait()
 }
 
-// PassOnCopies copies the replicas of unfinished responses that this node holds to remaining nodes before it exits. Live
+// TransferReplicas copies the replicas of unfinished responses that this node holds to remaining nodes before it exits. Live
 // home nodes have moved their replicas already, but if a home node has died undetected, this replica is the last copy.
-func (r *Replicator) PassOnCopies(ctx context.Context) {
+func (r *Replicator) TransferReplicas(ctx context.Context) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxParallelTransfers)
 	r.Logs.Each(func(log *stream.Log) {
