--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -129,9 +129,9 @@
 	return id
 }
 
-// KeepKV retains the KV cache of a running response on its server beyond the end of the attempt, for use by the next home
+// RetainKV retains the KV cache of a running response on its server beyond the end of the attempt, for use by the next home
 // node. It returns the handle, or "" if the cache cannot be retained.
-func (r *Runner) KeepKV(ctx context.Context, id string) string {
+func (r *Runner) RetainKV(ctx context.Context, id string) string {
 	run := r.lookup(id)
 	if run == nil {
 		return ""
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -73,7 +73,7 @@
 		if ctx.Err() != nil || !n.runner.OutlastsDeadline(id, deadline) {
 			return
 		}
-		keepKV := func(ctx context.Context) string { return n.runner.KeepKV(ctx, id) }
+		keepKV := func(ctx context.Context) string { return n.runner.RetainKV(ctx, id) }
 		wg.Go(func() { n.replicator.Handover(ctx, log, keepKV, func() { n.runner.Stop(id) }) })
 		clock.Sleep(ctx, handoverInterval)
 	})
