--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -192,10 +192,10 @@
 // Run starts the generation of a log's response in the background; done is called when this node no longer runs it. If
 // the response is already running, Run does nothing and done is not called. It returns an error if the request is
 // invalid or its model is no longer configured.
-func (r *Runner) Run(log *stream.Log, done func()) error { return r.RunWith(log, "", done) }
+func (r *Runner) Run(log *stream.Log, done func()) error { return r.RunWithKV(log, "", done) }
 
-// RunWith is like Run for a response whose KV cache is available under the handle kv on the log's server.
-func (r *Runner) RunWith(log *stream.Log, kv string, done func()) error {
+// RunWithKV is like Run for a response whose KV cache is available under the handle kv on the log's server.
+func (r *Runner) RunWithKV(log *stream.Log, kv string, done func()) error {
 	meta := log.Meta()
 	req, err := openai.ParseRequest(meta.Path, meta.Request)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -251,7 +251,7 @@
 		Member:    n.cluster.member,
 		Transport: n.transport,
 		Logs:      n.logs,
-		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWith(log, kv, func() {}) },
+		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWithKV(log, kv, func() {}) },
 		Metrics:   n.metrics,
 		Log:       n.log,
 	})
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -122,7 +122,7 @@
 		Member:    cl.memberOf,
 		Transport: &testTransport{cluster: cl, from: n},
 		Logs:      stream.NewStore(),
-		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWith(log, kv, func() {}) },
+		Run:       func(log *stream.Log, kv string) error { return n.runner.RunWithKV(log, kv, func() {}) },
 		Metrics:   set,
 		Log:       logrus.NewEntry(logger),
 	})
