--- a/internal/fleetholder/act.go
+++ b/internal/fleetholder/act.go
@@ -23,7 +23,7 @@
 	minIdleTime = 3 * time.Second
 )
 
-// startAll requests the pending starts in the row from the cloud. Starts decided by a previous holder are repeated with
+// startAll requests the pending starts in the row from the cloud. Starts decided by a previous holder are retried with
 // the same token, so they yield the same instance.
 func (t *term) startAll(ctx context.Context) error {
 	var pending []*pb.FleetStart
@@ -53,7 +53,7 @@
 			t.row.Starts = slices.DeleteFunc(t.row.Starts, func(other *pb.FleetStart) bool { return other == s })
 			t.recordRefusal(s)
 		default:
-			lastErr = err // the outcome may be unknown, so the next step repeats the same start
+			lastErr = err // the outcome may be unknown, so the next step retries the same start
 		}
 	}
 	return lastErr
--- a/internal/fleetholder/holder.go
+++ b/internal/fleetholder/holder.go
@@ -5,7 +5,7 @@
 // Every entry node calls Run, which acts only while the node holds the lease "fleet". The state that a successor needs
 // is one row of the table service. Starts and drains are written to it, conditional on the row version that the holder
 // read last, before the cloud API is called or a server is announced as leaving. The token of a start is derived from
-// its decision number in the row, so a successor that repeats the start gets the same instance. If the lease has moved
+// its decision number in the row, so a successor that retries the start gets the same instance. If the lease has moved
 // to another node, the conditional write fails; a holder that is paused after the write fails at the lease check,
 // which precedes each call. A call that is delayed even further only repeats a decision already in the row.
 //
--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -10,8 +10,8 @@
 const (
 	// moveTimeout bounds the export and import of one KV cache; after it, the target recomputes the cache.
 	moveTimeout = 3 * time.Second
-	// finishSafetyFactor is the fraction of the remaining notice in which a response must be expected to finish if it is
-	// to stay on its server. Servers may stop before their notice ends.
+	// finishSafetyFactor is the fraction of the remaining notice period in which a response must be expected to finish if
+	// it is to stay on its server. Servers may stop before their notice period ends.
 	finishSafetyFactor = 0.5
 )
 
--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -7,9 +7,9 @@
 // of a backend server costs the prefill of what the next server has not cached, but never a token of the response.
 //
 // When a backend server is leaving, each of its responses takes the cheapest option: finish on that server if the
-// expected remaining time fits into the notice, move with its KV cache to another server, or recompute on another
-// server. During a move, the old attempt runs on while the KV cache is copied, so that the caller sees no pause longer
-// than the switch.
+// expected remaining time fits into the notice period, move with its KV cache to another server, or recompute on
+// another server. During a move, the old attempt runs on while the KV cache is copied, so that the caller sees no pause
+// longer than the switch.
 //
 // An accepted response is not refused for lack of retry budget: it waits for budget until its deadline. A response that
 // has no token yet and finds no server fails after noServerTimeout with a retry time.
@@ -66,7 +66,7 @@
 // errHeld means that the request must wait for a decision on its strikes, or for another run of it to end.
 var errHeld = errors.New("generate: request is held")
 
-// errHandover cancels the run of a response whose home moves to another node.
+// errHandover cancels the run of a response whose home node changes to another node.
 var errHandover = errors.New("generate: response moves to another node")
 
 // errNoReader cancels a run whose response has no reader.
@@ -125,7 +125,7 @@
 	Restart bool
 }
 
-// Runner runs the generation of the responses whose home is this node.
+// Runner runs the generation of the responses whose home node is this node.
 type Runner struct {
 	Options
 	seed   maphash.Seed
@@ -148,7 +148,7 @@
 	blocks []uint64
 	cancel context.CancelCauseFunc
 
-	// preferredServer is the server of the previous home's last attempt. It is used for the first attempt here.
+	// preferredServer is the server of the previous home node's last attempt. It is used for the first attempt here.
 	preferredServer string
 	// mu guards the fields below, except startedAt and excluded, which only the goroutine of the run uses.
 	mu         sync.Mutex
--- a/internal/replica/attach.go
+++ b/internal/replica/attach.go
@@ -192,7 +192,7 @@
 	return peer, state, err
 }
 
-// takeOverLocally makes this node the home of a response of which it holds a replica. It returns nil if it holds none.
+// takeOverLocally makes this node the home node of a response if it holds a replica, and returns nil if it holds none.
 func (r *Replicator) takeOverLocally(workspace, id string, offset uint32) *pb.StreamState {
 	message := &pb.StreamFetch{ResponseId: id, Workspace: workspace, Offset: offset, TakeOver: true}
 	state := r.fetch(context.Background(), message).GetStreamState()
@@ -217,11 +217,11 @@
 	return state, nil
 }
 
-// Handover makes another node the home of a response that runs here, and reports whether one accepted it. The local log
-// becomes a replica, which follows the new home for the sake of its local readers.
+// Handover makes another node the home node of a response that runs here, and reports whether one accepted it. The local
+// log becomes a replica, which follows the new home node for the sake of its local readers.
 //
 // retainKV retains the KV cache on the server and returns its handle. It is called before the progress is sent, so that
-// the new home can continue without recomputing. stop ends the local run once a node has accepted the response.
+// the new home node can continue without recomputing. stop ends the local run once a node has accepted the response.
 func (r *Replicator) Handover(ctx context.Context, log *stream.Log, retainKV func(context.Context) string, stop func()) bool {
 	meta := log.Meta()
 	peers := r.responsiveCandidates(meta.ID, "")
@@ -230,7 +230,7 @@
 	}
 	kv := retainKV(ctx)
 	for _, peer := range peers {
-		// The new home starts its attempt after this progress. Tokens that arrive here in the meantime are generated
+		// The new home node starts its attempt after this progress. Tokens that arrive here in the meantime are generated
 		// again there, and the log drops the duplicates by their offset.
 		message := &pb.StreamHandover{Open: log.Open(), Progress: log.Progress(0), Kv: kv}
 		message.Open.Home = peer.Node
@@ -252,7 +252,7 @@
 	return false
 }
 
-// followLocal copies the new home's progress into the local log, which callers of this node still read.
+// followLocal copies the new home node's progress into the local log, which callers of this node still read.
 func (r *Replicator) followLocal(log *stream.Log, source membership.Member) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -241,7 +241,7 @@
 	return cl.servers[name].state, cl.servers[name].changed
 }
 
-// reclaim gives notice that a server will be reclaimed and stops it when the notice ends.
+// reclaim announces that a server will be reclaimed and stops it after the notice period.
 func (cl *cluster) reclaim(name string, notice time.Duration) {
 	deadline := time.Now().Add(notice)
 	for _, n := range cl.nodes {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -4,13 +4,14 @@
 //
 // Before the caller learns that its request was accepted, the home node copies the request to a replica, in another
 // failure domain if there is one. It then sends progress every flushInterval, in one message per replica node. An
-// acknowledged message advances the offset at which the next one starts, so a lost message is repeated and the log
+// acknowledged message advances the offset at which the next one starts, so a lost message is retried and the log
 // drops duplicates. When the replica's node fails or leaves, the home node picks another one and sends it everything.
 //
 // A response id names the home node at the time of acceptance. Any node can therefore find a response: it queries that
-// node and, if it is gone, the nodes that rendezvous hashing would choose for the replica. A replica becomes the home
-// when a caller resumes and the previous home node is not live. It does not take over merely because the home node
-// dies: a caller that still wants the response resumes it, and a response that nobody waits for is not recomputed.
+// node and, if it is gone, the nodes that rendezvous hashing would choose for the replica. The replica's node becomes
+// the home node when a caller resumes and the previous home node is not live. It does not take over merely because the
+// home node dies: a caller that still wants the response resumes it, and a response that nobody waits for is not
+// recomputed.
 package replica
 
 import (
@@ -70,7 +71,7 @@
 	Member    func(node string) (membership.Member, bool)
 	Transport Requester
 	Logs      *stream.Store
-	// Run runs a response whose home is this node. kv is the handle of its KV cache on the log's server, or "".
+	// Run starts the attempts of a response whose home node is now this node. kv is the handle of its KV cache on the log's server, or "".
 	Run     func(log *stream.Log, kv string) error
 	Metrics *metrics.Set
 	Log     *logrus.Entry
@@ -107,8 +108,8 @@
 	}
 }
 
-// candidates returns up to n nodes that are eligible for the replica of a response with the given home: those in other
-// failure domains first, each group in rendezvous order of the id.
+// candidates returns up to n nodes that are eligible for the replica of a response with the given home node: those in
+// other failure domains first, each group in rendezvous order of the id.
 func (r *Replicator) candidates(id string, home membership.Member, n int) []membership.Member {
 	var otherDomains, sameDomain []membership.Member
 	for _, member := range r.Live() {
@@ -354,7 +355,7 @@
 	}
 }
 
-// NewID returns the id of a response whose first home is the node. unique must not contain "-".
+// NewID returns the id of a response whose first home node is the given node. unique must not contain "-".
 func NewID(node, unique string) string { return "r-" + node + "-" + unique }
 
 // HomeOf returns the node that an id names, or "" if the id is malformed.
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -43,7 +43,7 @@
 			return ack(code.UnknownResponse, "no log of "+progress.ResponseId)
 		}
 		if log.Meta().Home == r.Self.Node {
-			continue // this node has taken over; the previous home's progress is stale
+			continue // this node has taken over; the previous home node's progress is stale
 		}
 		err := log.Apply(progress, now)
 		if err == stream.ErrGap {
@@ -115,14 +115,14 @@
 	}
 }
 
-// takeOver makes this node the home of a response whose home node is gone.
+// takeOver makes this node the home node of a response whose previous home node is gone.
 func (r *Replicator) takeOver(log *stream.Log) {
 	log.SetHome(r.Self.Node)
 	r.Metrics.Add("responses_taken_over", 1)
 	r.adopt(log, "", "")
 }
 
-// adopt opens a replica of a response whose home has become this node, and continues the response. The replica is not
+// adopt opens a replica of a response whose home node is now this node, and continues the response. The replica is not
 // placed on the node that handed the response over, as that node is leaving and this one may not know it yet.
 func (r *Replicator) adopt(log *stream.Log, kv, leaving string) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxOpenAttempts*openTimeout)
