--- a/internal/fleetholder/holder.go
+++ b/internal/fleetholder/holder.go
@@ -11,7 +11,7 @@
 //
 // Orders state a desired state and are limited to those that do no harm when they arrive late: a load only adds to what
 // a server holds, an unload goes only to servers that check fencing numbers, and the standby role goes only to
-// draining servers, and a drain is never withdrawn.
+// draining servers, whose drain is never withdrawn.
 //
 // The row is written only when a decision changes it, so an idle fleet makes no store calls besides lease renewals.
 // Without a holder, nodes keep serving with the existing servers.
--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-// finishesBefore estimates whether the response reaches MaxTokens before the deadline, from the tokens in the log and the
-// time since the attempt's first token. run.mu must be held.
+// finishesBefore estimates whether the response can reach MaxTokens early enough before the deadline, from the tokens in
+// the log and the time since the attempt's first token. run.mu must be held.
 func (run *run) finishesBefore(deadline time.Time, tokens uint32) bool {
 	if run.firstToken.IsZero() || tokens == 0 {
 		return false
@@ -129,8 +129,8 @@
 	return id
 }
 
-// RetainKV retains the KV cache of a running response on its server beyond the end of the attempt, for use by the next home
-// node. It returns the handle, or "" if the cache cannot be retained.
+// RetainKV retains the KV cache of a running response on its server beyond the end of the attempt, for use by the next
+// home node. It returns the handle, or "" if the cache cannot be retained.
 func (r *Runner) RetainKV(ctx context.Context, id string) string {
 	run := r.lookup(id)
 	if run == nil {
--- a/internal/replica/leave.go
+++ b/internal/replica/leave.go
@@ -46,7 +46,7 @@
 	wg.Wait()
 }
 
-// TransferReplicas copies the replicas of unfinished responses that this node holds to remaining nodes before it exits. Live
+// TransferReplicas copies this node's replicas of unfinished responses to remaining nodes before the node exits. Live
 // home nodes have moved their replicas already, but if a home node has died undetected, this replica is the last copy.
 func (r *Replicator) TransferReplicas(ctx context.Context) {
 	var wg sync.WaitGroup
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -71,7 +71,8 @@
 	Member    func(node string) (membership.Member, bool)
 	Transport Requester
 	Logs      *stream.Store
-	// Run starts the attempts of a response whose home node is now this node. kv is the handle of its KV cache on the log's server, or "".
+	// Run starts the attempts of a response whose home node is now this node. kv is the handle of its KV cache on the
+	// log's server, or "".
 	Run     func(log *stream.Log, kv string) error
 	Metrics *metrics.Set
 	Log     *logrus.Entry
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// responsiveCandidates returns the first maxOpenAttempts candidates, without the nodes that recently failed to reply: the
-// membership view may not show yet that they are gone, and each would delay the caller by openTimeout.
+// responsiveCandidates returns the first maxOpenAttempts candidates, without the nodes that recently failed to reply.
+// The membership view may not show yet that they are gone, and each would delay the caller by openTimeout.
 func (r *Replicator) responsiveCandidates(id, except string) []membership.Member {
 	now := time.Now()
 	r.mu.Lock()
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -33,8 +33,8 @@
 	return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{Code: uint32(c), Message: message}}}
 }
 
-// append applies progress to replicas. A missing log or a gap is refused, and the home node chooses another replica after
-// repeated failures.
+// append applies progress to replicas. Progress for a missing log or after a gap is refused; after repeated failures,
+// the home node chooses another replica.
 func (r *Replicator) append(message *pb.StreamAppend) *pb.Envelope {
 	now := time.Now()
 	for _, progress := range message.Progress {
