--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -47,7 +47,7 @@
 	n.finishWork(ctx, deadline)
 	finalCtx, cancel := context.WithTimeout(context.Background(), finalCopyTimeout)
 	defer cancel()
-	n.replicator.PassOnCopies(finalCtx)
+	n.replicator.TransferReplicas(finalCtx)
 	n.log.WithField("open_requests", n.openRequests.Load()).Info("node drained")
 }
 
@@ -74,7 +74,7 @@
 		if ctx.Err() != nil || !n.runner.OutlastsDeadline(id, deadline) {
 			return
 		}
-		keepKV := func(ctx context.Context) string { return n.runner.KeepKV(ctx, id) }
+		keepKV := func(ctx context.Context) string { return n.runner.RetainKV(ctx, id) }
 		wg.Go(func() { n.replicator.Handover(ctx, log, keepKV, func() { n.runner.Stop(id) }) })
 		clock.Sleep(ctx, handoverInterval)
 	})
