--- a/internal/node/caller_test.go
+++ b/internal/node/caller_test.go
@@ -59,7 +59,7 @@
 	case r.err != nil:
 		return "connection lost"
 	case r.location != "":
-		return fmt.Sprintf("%d code=%s redirected", r.status, r.code)
+		return fmt.Sprintf("%d code=%s sent on", r.status, r.code)
 	case r.ran != "":
 		return fmt.Sprintf("%d code=%s ran=%s", r.status, r.code, r.ran)
 	default:
--- a/internal/node/config_session_test.go
+++ b/internal/node/config_session_test.go
@@ -133,7 +133,7 @@
 			unchanged = unchanged && status.Config.Version == before
 			reported = reported && status.FolderFaults != nil && status.FolderFaults.Faults[0].File == "92-bad.json"
 		}
-		s.observe("the version stays on all nodes: %v, all nodes report the file: %v", unchanged, reported)
+		s.observe("the version stays on all nodes: %v, all nodes tell the file: %v", unchanged, reported)
 		repaired := c.folder.EditFile("92-bad.json", nil)
 		_, ok = c.awaitRevision(repaired, 17*time.Second, c.nodes...)
 		s.observe("the repaired folder is in force everywhere: %v", ok)
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -34,7 +34,7 @@
 		s.observe("%s: LOST: %v", name, err)
 		return
 	}
-	s.observe("%s: %d tokens, equal to the fault-free response: %v, end marker: %v", name, r.tokens, r.check(p) == nil, r.done)
+	s.observe("%s: %d tokens, equal to the fault-free answer: %v, end mark: %v", name, r.tokens, r.check(p) == nil, r.done)
 }
 
 func (s *transcript) assert(name string) { golden.Assert(s.t, s.lines.String(), name+".golden") }
@@ -102,12 +102,12 @@
 		s := &transcript{t: t}
 		other := longPrompt
 		other.seed, other.tokens = 12, 200
-		s.step("two callers send the same prompt with different seeds to entry-1, a third sends the first caller's request to entry-2")
+		s.step("two callers send the same prompt with different seeds to entry-1, a third the first one's request to entry-2")
 		a, b, same := c.mustOpen(t, 0, longPrompt), c.mustOpen(t, 0, other), c.mustOpen(t, 1, longPrompt)
 		s.observe("three responses: %v", a.id != b.id && b.id != same.id && a.id != same.id)
 		s.observe("10 tokens each: %v %v %v", a.read(10), b.read(10), same.read(10))
 
-		s.step("all busy servers freeze for 8 s, then continue their old attempts")
+		s.step("all busy servers freeze for 8 s, then go on with their old attempts")
 		for name, e := range c.engines {
 			if e.Running() > 0 {
 				c.engines[name].Freeze()
@@ -116,7 +116,7 @@
 		}
 		s.observe("100 tokens each: %v %v %v", a.read(100), b.read(100), same.read(100))
 
-		s.step("entry-1 pauses; its callers resume elsewhere; after 4 s it continues as if it were still the home node")
+		s.step("entry-1 pauses; its callers resume elsewhere; after 4 s it goes on as if it were still the home")
 		c.nodes[0].process.pause()
 		time.AfterFunc(4*time.Second, c.nodes[0].process.resume)
 		a.node, b.node = 0, 0
@@ -158,8 +158,8 @@
 			name, key string
 			inject    func()
 		}{
-			{"the store loses all responses to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
-			{"the store loses all responses and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
+			{"the store loses all answers to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
+			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
 			{"all writes take effect up to 2 s late", "late-a", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 2 s late, another booking", "late-b", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 10 s late", "later", func() { c.platform.LateWrites(100, 10*time.Second) }},
@@ -180,7 +180,7 @@
 			s.observe("runs 10 s after the store has recovered: %d", c.runs.Count("shop/"+f.key))
 			s.observeBooking(c, "resend to another node", caller.book(1, f.key, "deposit"), f.key)
 		}
-		s.step("all writes take effect up to 10 s late, and the node that gave up the booking dies before the resend")
+		s.step("all writes take effect up to 10 s late, and the node that gave the booking up dies before the resend")
 		c.platform.LateWrites(100, 10*time.Second)
 		s.observeBooking(c, "booking", caller.book(3, "later", "deposit"), "later")
 		s.observeBooking(c, "booking with a new key", caller.book(3, "given-up", "deposit"), "given-up")
@@ -290,7 +290,7 @@
 		s.step("engine-0, service-0 and entry-2 get 30 s of notice, under load on all nodes")
 		stop := c.startLoad()
 		time.Sleep(2 * time.Second)
-		s.observe("engine-0 and service-0 have run requests: %v %v", c.engines["engine-0"].Stats().Runs > 0, c.serviceRuns("service-0") > 0)
+		s.observe("engine-0 and service-0 have work: %v %v", c.engines["engine-0"].Stats().Runs > 0, c.serviceRuns("service-0") > 0)
 		c.platform.Cloud.Reclaim(notice, "engine-0", "service-0", "entry-2")
 		time.Sleep(1900 * time.Millisecond)
 		s.step("1.9 s after the notice")
@@ -306,7 +306,7 @@
 		s.step("18 s after the notice")
 		s.observe("new requests on engine-0: %d, on service-0: %d", c.engines["engine-0"].Stats().Runs-engineRuns, c.serviceRuns("service-0")-serviceRuns)
 		served, failed := stop()
-		s.observe("load continued: %v, failed requests: %v", served > 500, failed)
+		s.observe("load went on: %v, failed answers: %v", served > 500, failed)
 		s.assert("leaving")
 	})
 }
@@ -388,7 +388,7 @@
 		s := &transcript{t: t}
 		caller := newCaller(c)
 		fullPrompt := prompt{text: "Tag this ticket", tokens: 150, seed: 3}
-		s.step("entry-1 has a stream, a non-streamed response and a booking in progress")
+		s.step("entry-1 has a stream, a whole answer and a booking in progress")
 		r := c.mustOpen(t, 0, longPrompt)
 		fullResponses, bookingResponses := make(chan response, 1), make(chan response, 1)
 		go func() {
@@ -405,7 +405,7 @@
 		full := <-fullResponses
 		var body struct{ Choices []struct{ Text string } }
 		complete := json.Unmarshal([]byte(full.body), &body) == nil && body.Choices[0].Text == fullPrompt.expectedText()
-		s.observe("non-streamed response in progress: %v, equal to the fault-free response: %v", full, complete)
+		s.observe("whole answer in progress: %v, equal to the fault-free answer: %v", full, complete)
 		s.observe("the process still runs: %v", !c.nodes[0].exited())
 		s.finishStream("stream in progress", r, longPrompt)
 		s.observe("the stream stayed on its connection: %v", r.resumes == 0)
