--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -15,134 +15,135 @@
 )
 
 const (
-	// stallPauses is how many longest pauses a resumable stream may be silent before it goes on elsewhere.
-	stallPauses = 4
-	// stallMin is the least silence that counts as a stall; stallFirst is that before the first event.
-	stallMin   = 1200 * time.Millisecond
-	stallFirst = 2500 * time.Millisecond
-	// maxEvent bounds one event.
-	maxEvent = 1 << 20
-	// streamRead is the size of one read from a server.
-	streamRead = 16 << 10
+	// stallPauseFactor times the route's target for the pause between events is how long a resumable stream may be
+	// silent before it is retried on another server.
+	stallPauseFactor = 4
+	// minStallTimeout is the minimum of that time. firstEventStallTimeout is the minimum before the first event.
+	minStallTimeout        = 1200 * time.Millisecond
+	firstEventStallTimeout = 2500 * time.Millisecond
+	// maxEventBytes limits the size of one event.
+	maxEventBytes = 1 << 20
+	// streamReadSize is the size of one read from a server.
+	streamReadSize = 16 << 10
 )
 
-// streamRelay passes the events of a stream on, each once and in order, from one server after the other.
+// streamRelay relays the events of a stream to the caller, each once and in order, from successive servers.
 type streamRelay struct {
 	n   *Node
 	req *request
-	// started is set when the caller has got the header.
-	started bool
-	// last is the id of the last event the caller has; number is its value when known.
-	last   string
-	number int64
-	known  bool
+	// headerSent is set once the response header has been sent to the caller.
+	headerSent bool
+	// lastID is the id of the last event sent to the caller; lastNumber is its value if lastIsNumber is set.
+	lastID       string
+	lastNumber   int64
+	lastIsNumber bool
 }
 
-// send runs the stream on one server until it is complete or broken.
-func (s *streamRelay) send(ctx context.Context, ticket *placement.Ticket) try {
+// send relays the stream from one server until it is complete or broken.
+func (s *streamRelay) send(ctx context.Context, ticket *placement.Ticket) sendResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := s.watch(ticket, cancel)
+	stall := s.startStallTimer(ticket, cancel)
 	if stall != nil {
 		defer stall.Stop()
 	}
 	out, err := s.n.outbound(ctx, s.req, ticket, s.resumeAfter())
 	if err != nil {
-		return try{verdict: notSent, reason: "invalid_request"}
+		return sendResult{status: notSent, reason: "invalid_request"}
 	}
 	resp, err := s.n.client.Do(out)
 	if err != nil {
-		return s.ended(ctx, ticket, err)
+		return s.classify(ctx, ticket, err)
 	}
 	defer closeBody(resp)
 	reply := s.n.headers.Reply(resp)
-	if t, done := s.n.checkReply(s.req, resp, reply); done {
-		return t
+	if result, done := s.n.checkReply(s.req, resp, reply); done {
+		return result
 	}
 	if resp.StatusCode/100 != 2 {
-		return s.failure(resp)
+		return s.serverFailure(resp)
 	}
-	err = s.copy(resp, ticket, stall)
+	err = s.copyEvents(resp, ticket, stall)
 	if err == nil {
 		s.req.outcome = logline.Served
-		return try{verdict: answered}
+		return sendResult{status: delivered}
 	}
-	return s.ended(ctx, ticket, err)
+	return s.classify(ctx, ticket, err)
 }
 
-// resumeAfter is the event after which a server should go on.
+// resumeAfter returns the id of the event after which a server should resume.
 func (s *streamRelay) resumeAfter() string {
-	if s.last != "" {
-		return s.last
+	if s.lastID != "" {
+		return s.lastID
 	}
 	return s.req.ResumeAfter
 }
 
-// errStalled is the cause of a try that was silent for too long.
-var errStalled = errorString("the stream was silent for too long")
+// errStalled is the cancellation cause of a send whose stream stalled.
+var errStalled = errorString("stream stalled")
 
 type errorString string
 
 // Error implements error.
 func (e errorString) Error() string { return string(e) }
 
-// watch cancels a try that is silent for too long, if the stream may go on elsewhere and a server is left for it. It
-// returns nil where silence is no reason to end the answer.
-func (s *streamRelay) watch(ticket *placement.Ticket, cancel context.CancelCauseFunc) *time.Timer {
+// startStallTimer returns a timer that cancels a stalled send, or nil if the route does not allow the stream to be
+// resumed or no attempts are left.
+func (s *streamRelay) startStallTimer(ticket *placement.Ticket, cancel context.CancelCauseFunc) *time.Timer {
 	if s.req.route.Repeat != serving.Resumable || s.req.sends+1 >= s.req.route.MaxAttempts {
 		return nil
 	}
-	return time.AfterFunc(max(stallFirst, 2*ticket.Expected), func() {
-		// Without a repeat left the stream would only be broken off; it waits for its server instead.
+	return time.AfterFunc(max(firstEventStallTimeout, 2*ticket.Expected), func() {
+		// Without a retry the stream would be cut off; it keeps waiting for its server instead.
 		if s.n.retryWindow(s.req.service.Name).Repeat(time.Now()) {
 			cancel(errStalled)
 		}
 	})
 }
 
-// ended classifies the error that ended a try.
-func (s *streamRelay) ended(ctx context.Context, ticket *placement.Ticket, err error) try {
+// classify returns the result for the error that ended a send.
+func (s *streamRelay) classify(ctx context.Context, ticket *placement.Ticket, err error) sendResult {
 	if context.Cause(ctx) == errStalled {
-		return try{verdict: lost, reason: "stream_stalled", repeatTaken: true}
+		return sendResult{status: responseLost, reason: "stream_stalled", retryReserved: true}
 	}
 	return s.n.classify(ctx, ticket, err)
 }
 
-// failure takes a server's own failure.
-func (s *streamRelay) failure(resp *http.Response) try {
-	if s.started {
-		return try{verdict: lost, reason: "server_error"}
+// serverFailure returns the result for an error response of a server.
+func (s *streamRelay) serverFailure(resp *http.Response) sendResult {
+	if s.headerSent {
+		return sendResult{status: responseLost, reason: "server_error"}
 	}
-	answer, err := readAnswer(resp)
-	if err != nil || answer.rest != nil {
-		return try{verdict: lost, reason: "answer_cut"}
+	response, err := readResponse(resp)
+	if err != nil || response.rest != nil {
+		return sendResult{status: responseLost, reason: "answer_cut"}
 	}
-	answer.header = s.n.headers.Answer(answer.header)
-	return try{verdict: failedByServer, reason: "server_error", answer: answer}
+	response.header = s.n.headers.Answer(response.header)
+	return sendResult{status: serverFailed, reason: "server_error", response: response}
 }
 
-// copy passes whole events on until the answer ends. An error means that it is not complete.
-func (s *streamRelay) copy(resp *http.Response, ticket *placement.Ticket, stall *time.Timer) error {
-	quiet := max(stallMin, stallPauses*s.req.route.PauseTarget)
+// copyEvents relays complete events until the response ends. It returns an error if the stream is incomplete.
+func (s *streamRelay) copyEvents(resp *http.Response, ticket *placement.Ticket, stall *time.Timer) error {
+	stallTimeout := max(minStallTimeout, stallPauseFactor*s.req.route.PauseTarget)
 	var pending []byte
-	buffer := make([]byte, streamRead)
+	buffer := make([]byte, streamReadSize)
 	for {
 		n, err := resp.Body.Read(buffer)
 		pending = append(pending, buffer[:n]...)
-		whole := lastBoundary(pending)
-		if whole > 0 {
+		complete := completeEventsLen(pending)
+		if complete > 0 {
 			ticket.FirstEvent(time.Now())
 			if s.req.firstEvent == 0 {
 				s.req.firstEvent = time.Since(s.req.sentAt)
 			}
 			s.n.countUsage(s.req)
 			if stall != nil {
-				stall.Reset(quiet)
+				stall.Reset(stallTimeout)
 			}
-			if e := s.write(resp, pending[:whole]); e != nil {
+			if e := s.writeEvents(resp, pending[:complete]); e != nil {
 				return e
 			}
-			pending = append(pending[:0], pending[whole:]...)
+			pending = append(pending[:0], pending[complete:]...)
 		}
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(pending)) > 0:
@@ -151,50 +152,50 @@
 			return s.finish(resp)
 		case err != nil:
 			return err
-		case len(pending) > maxEvent:
-			return errorString("an event is too large")
+		case len(pending) > maxEventBytes:
+			return errorString("event exceeds the size limit")
 		}
 	}
 }
 
-// finish ends a complete stream, also one without events.
+// finish ends a complete stream, which may be empty.
 func (s *streamRelay) finish(resp *http.Response) error {
-	if !s.started {
-		s.start(resp)
+	if !s.headerSent {
+		s.writeHeader(resp)
 	}
 	return nil
 }
 
-// start writes the header of the first server that has an event.
-func (s *streamRelay) start(resp *http.Response) {
+// writeHeader sends the response header to the caller.
+func (s *streamRelay) writeHeader(resp *http.Response) {
 	header := s.req.w.Header()
 	for name, values := range s.n.headers.Answer(resp.Header) {
 		header[name] = values
 	}
 	header.Del("Content-Length")
 	s.req.w.WriteHeader(resp.StatusCode)
-	s.started = true
+	s.headerSent = true
 }
 
-// write passes whole events on. An event that the caller has is left out; a gap is an error.
-func (s *streamRelay) write(resp *http.Response, block []byte) error {
+// writeEvents sends complete events to the caller. Events already sent are skipped; a gap is an error.
+func (s *streamRelay) writeEvents(resp *http.Response, block []byte) error {
 	var out []byte
 	for len(block) > 0 {
-		event := block[:firstBoundary(block)]
+		event := block[:firstEventLen(block)]
 		block = block[len(event):]
-		fresh, err := s.follow(event)
+		isNew, err := s.checkSequence(event)
 		if err != nil {
 			return err
 		}
-		if fresh {
+		if isNew {
 			out = append(out, event...)
 		}
 	}
 	if len(out) == 0 {
 		return nil
 	}
-	if !s.started {
-		s.start(resp)
+	if !s.headerSent {
+		s.writeHeader(resp)
 	}
 	if _, err := s.req.w.Write(out); err != nil {
 		return err
@@ -202,27 +203,27 @@
 	return http.NewResponseController(s.req.w).Flush()
 }
 
-// follow checks an event's id against the last one.
-func (s *streamRelay) follow(event []byte) (fresh bool, err error) {
+// checkSequence compares an event's id with the last one. isNew is false if the event has been sent before.
+func (s *streamRelay) checkSequence(event []byte) (isNew bool, err error) {
 	id, ok := eventID(event)
 	if !ok {
 		return true, nil
 	}
 	number, parseErr := strconv.ParseInt(id, 10, 64)
-	if parseErr == nil && s.known {
-		if number <= s.number {
+	if parseErr == nil && s.lastIsNumber {
+		if number <= s.lastNumber {
 			return false, nil
 		}
-		if number != s.number+1 {
-			return false, errorString("an event is missing")
+		if number != s.lastNumber+1 {
+			return false, errorString("gap in event ids")
 		}
 	}
-	s.last = id
-	s.number, s.known = number, parseErr == nil
+	s.lastID = id
+	s.lastNumber, s.lastIsNumber = number, parseErr == nil
 	return true, nil
 }
 
-// eventID returns the id of an event.
+// eventID returns the id field of an event.
 func eventID(event []byte) (string, bool) {
 	for line := range strings.SplitSeq(string(event), "\n") {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
@@ -232,8 +233,8 @@
 	return "", false
 }
 
-// firstBoundary returns the length of the first event with its blank line, or of everything.
-func firstBoundary(b []byte) int {
+// firstEventLen returns the length of the first event including its blank line, or len(b) without one.
+func firstEventLen(b []byte) int {
 	if i := bytes.Index(b, []byte("\n\n")); i >= 0 {
 		if j := bytes.Index(b[:i+1], []byte("\r\n\r\n")); j < 0 {
 			return i + 2
@@ -245,8 +246,8 @@
 	return len(b)
 }
 
-// lastBoundary returns the length of all whole events.
-func lastBoundary(b []byte) int {
+// completeEventsLen returns the length of all complete events.
+func completeEventsLen(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		end = i + 2
--- a/internal/edge/usagereport.go
+++ b/internal/edge/usagereport.go
@@ -13,15 +13,15 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// reportUsage reports the windows that are final and not reported in this term.
+// reportUsage reports the final usage windows that have not been reported in this term.
 func (h *dutyHolder) reportUsage(ctx context.Context, now time.Time) {
 	u := h.n.usage
-	last := u.NumberAt(now.Add(-usageSettle)) - 1
+	last := u.NumberAt(now.Add(-usageSettleTime)) - 1
 	for number := last - int64(h.n.settings.UsageDelay/h.n.settings.UsageWindow) + 1; number <= last; number++ {
 		if h.reported[number] {
 			continue
 		}
-		counts, err := h.freeze(ctx, number)
+		counts, err := h.finalCounts(ctx, number)
 		if err != nil {
 			h.n.log.WithError(err).WithField("window", number).Warning("usage counts not made final")
 			continue
@@ -35,7 +35,7 @@
 			return
 		}
 		if err := h.n.duties.ReportUsage(ctx, fencing, number, counts); err != nil {
-			h.n.log.WithError(err).WithField("window", number).Warning("usage not reported")
+			h.n.log.WithError(err).WithField("window", number).Warning("reporting usage failed")
 			continue
 		}
 		h.reported[number] = true
@@ -43,10 +43,10 @@
 	}
 }
 
-// freeze returns the final counts of a window. They are written once, before they are reported, so that whoever
-// reports them again reports the same.
-func (h *dutyHolder) freeze(ctx context.Context, number int64) (map[string]int64, error) {
-	if counts, ok := h.frozen[number]; ok {
+// finalCounts returns the final counts of a window. They are stored once, before the first report, so that every report
+// of a window is the same.
+func (h *dutyHolder) finalCounts(ctx context.Context, number int64) (map[string]int64, error) {
+	if counts, ok := h.final[number]; ok {
 		return counts, nil
 	}
 	counts := h.n.usage.Total(number)
@@ -64,17 +64,17 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict) || errors.Is(err, platform.ErrOutcomeUnknown):
-		if counts, err = h.readFrozen(ctx, key); err != nil {
+		if counts, err = h.readFinalCounts(ctx, key); err != nil {
 			return nil, err
 		}
 	default:
 		return nil, err
 	}
-	h.frozen[number] = counts
+	h.final[number] = counts
 	return counts, nil
 }
 
-func (h *dutyHolder) readFrozen(ctx context.Context, key string) (map[string]int64, error) {
+func (h *dutyHolder) readFinalCounts(ctx context.Context, key string) (map[string]int64, error) {
 	row, err := h.n.store.Get(ctx, usageTable, key)
 	if err != nil {
 		return nil, err
--- a/internal/edge/viewchanges.go
+++ b/internal/edge/viewchanges.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// mostRemoved bounds the servers that have gone and that peers can still be told of one by one.
-	mostRemoved = 256
-	// tellFor is how many beats tell a change, so that a lost datagram does not hide it.
-	tellFor = 3
-	// mostTold bounds the changes in one beat, in bytes; a peer fetches what does not fit.
-	mostTold = 8 << 10
+	// maxRemovedServers limits the removed servers that are remembered for exports of changes.
+	maxRemovedServers = 256
+	// changeHeartbeats is how many heartbeat intervals a change is sent for, so that a lost datagram does not hide it.
+	changeHeartbeats = 3
+	// maxChangeBytes limits the size of the changes in one heartbeat; peers fetch larger ones.
+	maxChangeBytes = 8 << 10
 )
 
-// errOtherDigest means that changes do not lead to the view of the peer that told them; the whole view is needed.
-var errOtherDigest = errors.New("changes lead to another view than the peer's")
+// errDigestMismatch means that a peer's changes did not lead to the peer's view; the whole view is needed.
+var errDigestMismatch = errors.New("server changes do not lead to the view of the peer")
 
-// removedServer is a server that is not in the store any more since a version.
+// removedServer is a server that was removed at a store version.
 type removedServer struct {
 	key     string
 	version uint64
 }
 
-// toldChanges remembers from which version on the next beats tell changes.
-type toldChanges struct {
-	// since is the version before the oldest change that is still told, lastAt the time of the newest one.
+// pendingChanges determines which changes the next heartbeats contain.
+type pendingChanges struct {
+	// since is the version before the oldest change that is still sent, lastAt the time of the newest one.
 	since  uint64
 	lastAt time.Time
 }
 
-func (t *toldChanges) add(since uint64, now time.Time) {
-	if t.lastAt.IsZero() {
-		t.since = since
+func (p *pendingChanges) add(since uint64, now time.Time) {
+	if p.lastAt.IsZero() {
+		p.since = since
 	}
-	t.lastAt = now
+	p.lastAt = now
 }
 
-// drop takes a server out and remembers that it has gone.
+// drop removes a server and adds it to the removed ones.
 func (v *serverView) drop(key string, version uint64) {
 	delete(v.entries, key)
 	v.removed = append(v.removed, removedServer{key, version})
-	if n := len(v.removed) - mostRemoved; n > 0 {
+	if n := len(v.removed) - maxRemovedServers; n > 0 {
 		v.removedFloor = max(v.removedFloor, v.removed[n-1].version)
 		v.removed = v.removed[n:]
 	}
 }
 
-// export returns the changes after a version for a peer, or the whole view when they are not known.
+// export returns the changes since a version, or the whole view if they are no longer available.
 func (v *serverView) export(since uint64, now time.Time) *pb.ServerView {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -64,14 +64,14 @@
 		since = 0
 	}
 	out := &pb.ServerView{Version: v.version, Digest: v.digest, Since: since,
-		AgeMs: uint32(min(now.Sub(v.freshAt), time.Hour).Milliseconds())}
+		AgeMs: uint32(min(now.Sub(v.freshAsOf), time.Hour).Milliseconds())}
 	for key, e := range v.entries {
-		if since > 0 && e.changedIn <= since {
+		if since > 0 && e.changedVersion <= since {
 			continue
 		}
 		entry := &pb.ServerEntry{Key: key, Value: e.value, Version: e.version}
-		if !e.goneAt.IsZero() {
-			entry.GoneInMs = uint32(max(e.goneAt.Sub(now).Milliseconds(), 1))
+		if !e.expiresAt.IsZero() {
+			entry.GoneInMs = uint32(max(e.expiresAt.Sub(now).Milliseconds(), 1))
 		}
 		out.Entries = append(out.Entries, entry)
 	}
@@ -86,30 +86,30 @@
 	return out
 }
 
-// tell returns what the beat tells of changes that this node has read itself, or nil.
-func (v *serverView) tell(beat time.Duration, now time.Time) *pb.ServerView {
+// heartbeatChanges returns the changes for the next heartbeat, or nil. Only changes read by this node are sent.
+func (v *serverView) heartbeatChanges(interval time.Duration, now time.Time) *pb.ServerView {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.told.lastAt.IsZero() {
+	if v.pending.lastAt.IsZero() {
 		return nil
 	}
-	if now.Sub(v.told.lastAt) > tellFor*beat {
-		v.told = toldChanges{}
+	if now.Sub(v.pending.lastAt) > changeHeartbeats*interval {
+		v.pending = pendingChanges{}
 		return nil
 	}
-	changes := v.exportLocked(v.told.since, now)
-	if changes.Since == 0 || proto.Size(changes) > mostTold {
+	changes := v.exportLocked(v.pending.since, now)
+	if changes.Since == 0 || proto.Size(changes) > maxChangeBytes {
 		return nil
 	}
 	return changes
 }
 
-// adopt takes over a peer's view that was read at a newer version, or the changes that lead to it. The error is
-// errOtherDigest when the changes are not enough.
-func (v *serverView) adopt(view *pb.ServerView, now time.Time) error {
+// merge applies a peer's newer view, or the changes that lead to it. It returns errDigestMismatch if the changes are
+// not enough.
+func (v *serverView) merge(view *pb.ServerView, now time.Time) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if view.Version <= v.version || view.Since > v.version || (view.Since > 0 && !v.known.Load()) {
+	if view.Version <= v.version || view.Since > v.version || (view.Since > 0 && !v.loaded.Load()) {
 		return nil
 	}
 	present := make(map[string]bool, len(view.Entries))
@@ -117,7 +117,7 @@
 		present[e.Key] = true
 		v.put(e.Key, e.Value, e.Version)
 		if e.GoneInMs > 0 {
-			v.entries[e.Key].goneAt = now.Add(time.Duration(e.GoneInMs) * time.Millisecond)
+			v.entries[e.Key].expiresAt = now.Add(time.Duration(e.GoneInMs) * time.Millisecond)
 		}
 	}
 	if view.Since == 0 {
@@ -135,25 +135,25 @@
 	}
 	changed := v.publish()
 	if view.Since > 0 && v.digest != view.Digest {
-		// What was told is right, but this view lacks something else. Its version stays, so that it is fetched.
+		// The changes are right, but this view misses others. Its version is kept, so that the view is fetched.
 		v.incomplete = true
-		return errOtherDigest
+		return errDigestMismatch
 	}
 	v.version = view.Version
-	v.freshAt = now.Add(-time.Duration(view.AgeMs) * time.Millisecond)
+	v.freshAsOf = now.Add(-time.Duration(view.AgeMs) * time.Millisecond)
 	v.incomplete = false
 	if changed {
 		v.contentVersion = v.version
 	}
-	v.known.Store(true)
+	v.loaded.Store(true)
 	return nil
 }
 
-// since returns the version after which a peer need tell changes only; 0 asks for the whole view.
-func (v *serverView) since() uint64 {
+// sinceVersion returns the version since which a peer has to send changes; 0 requests the whole view.
+func (v *serverView) sinceVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.incomplete || !v.known.Load() {
+	if v.incomplete || !v.loaded.Load() {
 		return 0
 	}
 	return v.version
--- a/internal/edge/viewchanges_test.go
+++ b/internal/edge/viewchanges_test.go
@@ -16,35 +16,35 @@
 	"github.com/pollenlug/pollenlug/pkg/serving"
 )
 
-// rowRecords reads rows of one byte, the state of the server.
+// rowRecords decodes one-byte rows that hold the state of a server.
 type rowRecords struct{ Records }
 
 func (rowRecords) Server(key string, value []byte) (serving.Server, error) {
 	return serving.Server{ID: key, Address: "10.0.0.1:1", State: serving.ServerState(value[0])}, nil
 }
 
-// changingStore has one table whose rows and changes are set by the test.
-type changingStore struct {
+// fakeStore is a store with one table whose rows and changes are set by the test.
+type fakeStore struct {
 	Store
 	version uint64
 	rows    map[string]platform.Row
 	log     []platform.Change
 }
 
-func (s *changingStore) set(key string, state serving.ServerState) {
+func (s *fakeStore) set(key string, state serving.ServerState) {
 	s.version++
 	row := platform.Row{Key: key, Value: []byte{byte(state)}, Version: s.version}
 	s.rows[key] = row
 	s.log = append(s.log, platform.Change{Row: row})
 }
 
-func (s *changingStore) remove(key string) {
+func (s *fakeStore) remove(key string) {
 	s.version++
 	delete(s.rows, key)
 	s.log = append(s.log, platform.Change{Row: platform.Row{Key: key, Version: s.version}, Deleted: true})
 }
 
-func (s *changingStore) Snapshot(context.Context, string) ([]platform.Row, uint64, error) {
+func (s *fakeStore) Snapshot(context.Context, string) ([]platform.Row, uint64, error) {
 	rows := make([]platform.Row, 0, len(s.rows))
 	for _, row := range s.rows {
 		rows = append(rows, row)
@@ -52,7 +52,7 @@
 	return rows, s.version, nil
 }
 
-func (s *changingStore) Changes(_ context.Context, _ string, since uint64, _ time.Duration) ([]platform.Change, uint64, error) {
+func (s *fakeStore) Changes(_ context.Context, _ string, since uint64, _ time.Duration) ([]platform.Change, uint64, error) {
 	var changes []platform.Change
 	for _, c := range s.log {
 		if c.Version > since {
@@ -65,8 +65,8 @@
 func newTestView(store Store) *serverView {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
-	return &serverView{store: store, records: rowRecords{}, log: logrus.NewEntry(logger), changed: func([]serving.Server) {},
-		news: func() {}, entries: map[string]*serverEntry{}}
+	return &serverView{store: store, records: rowRecords{}, log: logrus.NewEntry(logger), onChange: func([]serving.Server) {},
+		onStoreChange: func() {}, entries: map[string]*serverEntry{}}
 }
 
 func (v *serverView) states() map[string]serving.ServerState {
@@ -77,37 +77,37 @@
 	return states
 }
 
-// Guards against a drain that reaches the nodes of a large deployment only after each of them has fetched the reader's
-// whole view over its slow link.
+// Guards against a drain that reaches the nodes of a large deployment only after each has fetched the reader's whole
+// view over its slow link.
 func TestChangeArrivesWithTheBeat(t *testing.T) {
-	store := &changingStore{rows: map[string]platform.Row{}}
+	store := &fakeStore{rows: map[string]platform.Row{}}
 	for i := range 90 {
 		store.set(fmt.Sprintf("engine-%02d", i), serving.Ready)
 	}
 	reader, other := newTestView(store), newTestView(nil)
 	assert.NilError(t, reader.read(t.Context()))
 	now := time.Now()
-	assert.NilError(t, other.adopt(reader.export(0, now), now))
+	assert.NilError(t, other.merge(reader.export(0, now), now))
 	store.set("engine-01", serving.Draining)
 	store.remove("engine-02")
-	told := 0
-	reader.news = func() { told++ }
+	notified := 0
+	reader.onStoreChange = func() { notified++ }
 	assert.NilError(t, reader.read(t.Context()))
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notified, 1)
 
-	beat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.tell(beatInterval, time.Now())}
+	beat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.heartbeatChanges(minHeartbeatInterval, time.Now())}
 	assert.Assert(t, proto.Size(beat.Changes) < 200)
 	f := newFetcher(&configView{}, other, other.log)
-	f.heard(beat, time.Now())
+	f.handleHeartbeat(beat, time.Now())
 	assert.DeepEqual(t, other.states(), reader.states())
-	assert.Assert(t, reader.tell(beatInterval, time.Now().Add(time.Minute)) == nil, "told for ever")
+	assert.Assert(t, reader.heartbeatChanges(minHeartbeatInterval, time.Now().Add(time.Minute)) == nil, "changes are sent forever")
 }
 
-// Guards against changes that leave a node with another view than the one that told them, whatever it has missed.
+// Guards against changes that leave a node with a different view than their sender, whatever the node has missed.
 func TestChangesLeadToTheSameView(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		store := &changingStore{rows: map[string]platform.Row{}}
+		store := &fakeStore{rows: map[string]platform.Row{}}
 		reader, others := newTestView(store), []*serverView{newTestView(nil), newTestView(nil), newTestView(nil)}
 		for range 60 {
 			for range random.IntN(4) {
@@ -120,25 +120,25 @@
 			}
 			assert.NilError(t, reader.read(t.Context()))
 			now := time.Now()
-			told := reader.tell(beatInterval, now)
+			sent := reader.heartbeatChanges(minHeartbeatInterval, now)
 			for i, other := range others {
-				if told != nil && random.IntN(2) == 0 {
-					// An error means that the rest is fetched.
-					_ = other.adopt(told, now)
+				if sent != nil && random.IntN(2) == 0 {
+					// After an error the rest is fetched.
+					_ = other.merge(sent, now)
 				}
-				if !other.heard(reader.state(now), now) || random.IntN(2) == 0 {
+				if !other.observePeer(reader.state(now), now) || random.IntN(2) == 0 {
 					continue
 				}
 				from := reader
 				if i > 0 && others[i-1].version > other.version {
-					from = others[i-1] // a node that was itself told
+					from = others[i-1] // a node that itself received its view from a peer
 				}
-				_ = other.adopt(from.export(other.since(), now), now)
+				_ = other.merge(from.export(other.sinceVersion(), now), now)
 			}
 		}
 		for _, other := range others {
 			for range 2 { // the first fetch may show that the whole view is needed
-				_ = other.adopt(reader.export(other.since(), time.Now()), time.Now())
+				_ = other.merge(reader.export(other.sinceVersion(), time.Now()), time.Now())
 			}
 			assert.Equal(t, other.digest, reader.digest, "seed %d", seed)
 			assert.DeepEqual(t, other.states(), reader.states())
@@ -146,15 +146,15 @@
 	}
 }
 
-// Guards against a node that learns nothing new for seconds, because the connections to the peers it asks first have gone
-// silent.
+// Guards against a node that learns nothing new for seconds because the connections to the peers it asks first have
+// stopped responding.
 func TestSilentPeersDoNotBlockFetches(t *testing.T) {
 	f := newFetcher(&configView{}, newTestView(nil), logrus.NewEntry(logrus.New()))
 	now := time.Unix(1000, 0)
-	asked := func(peer string) bool { return f.begin(pathServers, pathServers+" "+peer, now) }
-	assert.Assert(t, asked("a") && asked("b"))
-	assert.Assert(t, !asked("a") && !asked("c"))
-	assert.Assert(t, f.begin(pathConfig, pathConfig+" c", now), "another view")
+	begins := func(peer string) bool { return f.tryBegin(pathServers, pathServers+" "+peer, now) }
+	assert.Assert(t, begins("a") && begins("b"))
+	assert.Assert(t, !begins("a") && !begins("c"))
+	assert.Assert(t, f.tryBegin(pathConfig, pathConfig+" c", now), "another view")
 	now = now.Add(slowFetch)
-	assert.Assert(t, !asked("a") && asked("c") && asked("d") && !asked("e"))
+	assert.Assert(t, !begins("a") && begins("c") && begins("d") && !begins("e"))
 }
--- a/internal/edge/views_test.go
+++ b/internal/edge/views_test.go
@@ -12,7 +12,7 @@
 	"github.com/pollenlug/pollenlug/platform/standin"
 )
 
-// Guards against a node that serves or refuses by guess before it has a configuration.
+// Guards against a node that serves or refuses requests before it has a configuration.
 func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
@@ -24,7 +24,7 @@
 	assert.Equal(t, len(directory(t, n)), 0)
 }
 
-// Guards against a change of routes or keys that is not in force soon, or is undone by an older version.
+// Guards against a change of routes or keys that is not in force soon, or that an older version reverts.
 func TestConfigurationIsInForceAndNeverReverts(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
@@ -32,36 +32,36 @@
 	d.configure()
 	d.serve("desk-1", "desk", 0)
 	n := d.node()
-	with := func(key string) int {
+	statusWithKey := func(key string) int {
 		return n.do(t, call{path: "/book/1", header: map[string]string{"Pollenlug-Credential": key}}).status
 	}
-	assert.Equal(t, with("key-1"), 200)
+	assert.Equal(t, statusWithKey("key-1"), 200)
 	d.tenants = []map[string]any{{"name": "guild", "api_keys": []string{"key-2"}}}
 	d.configure()
-	eventually(t, time.Second, "the key still works", func() bool { return with("key-1") == http.StatusUnauthorized })
-	assert.Equal(t, with("key-2"), 200)
+	eventually(t, time.Second, "the key still works", func() bool { return statusWithKey("key-1") == http.StatusUnauthorized })
+	assert.Equal(t, statusWithKey("key-2"), 200)
 	d.version -= 2
 	d.tenants = []map[string]any{{"name": "guild", "api_keys": []string{"key-1"}}}
 	d.configure() // an older version
 	d.store.PutRaw("op", "config", []byte("{broken"))
 	d.store.Forget()
 	time.Sleep(300 * time.Millisecond)
-	assert.Equal(t, with("key-1"), http.StatusUnauthorized)
-	assert.Equal(t, with("key-2"), 200)
+	assert.Equal(t, statusWithKey("key-1"), http.StatusUnauthorized)
+	assert.Equal(t, statusWithKey("key-2"), 200)
 }
 
-// Guards against a change that does not reach a node which the store turns away while it serves the others.
+// Guards against a change that does not reach a node whose store calls fail while those of other nodes succeed.
 func TestPeersPassOnWhatTheStoreDoesNot(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.configure()
 	d.serve("desk-1", "desk", 0)
 	one := d.node()
-	// The second node has a store of its own that refuses everything.
+	// The second node has its own store, which refuses all calls.
 	other := newDeployment(t)
 	other.store.SetFault(standin.Refuse)
 	two := other.startNode()
-	// The first node learns of the second by its row.
+	// The first node discovers the second through its row.
 	value, err := proto.Marshal(&pb.NodeRow{Node: two.settings.Node, PeerAddr: two.settings.PeerAddr})
 	assert.NilError(t, err)
 	d.store.PutRaw("nodes", two.settings.Node, value)
@@ -74,7 +74,7 @@
 	assert.Equal(t, len(directory(t, one)), 2)
 }
 
-// Guards against requests to a server that has said that it leaves, also when an older row of it arrives late.
+// Guards against requests to a server that has announced its draining, also if an older row of it arrives late.
 func TestDrainingServerGetsNothing(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
@@ -94,8 +94,8 @@
 	assert.Assert(t, len(other.Runs()) >= 10)
 }
 
-// Guards against rows of other writers that take all servers away.
-func TestUnreadableRowsNameNoServer(t *testing.T) {
+// Guards against rows of other writers that make the node lose all servers.
+func TestInvalidServerRowsAreIgnored(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.configure()
@@ -109,8 +109,8 @@
 	}
 }
 
-// Guards against an address that another server has taken over: the request runs on the right server or not at all.
-func TestReusedAddressRunsNothing(t *testing.T) {
+// Guards against an address that another server has taken over: the request runs on the intended server or not at all.
+func TestReusedAddressDoesNotRunRequest(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.configure()
@@ -122,8 +122,8 @@
 	assert.Equal(t, len(s.Runs()), 0)
 }
 
-// Guards against losing all servers because their rows lapsed while the store was away.
-func TestLapsedRowsAreKeptAroundAnOutage(t *testing.T) {
+// Guards against losing all servers because their rows expired during a store outage.
+func TestExpiredRowsAreKeptAfterStoreOutage(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.configure()
@@ -144,7 +144,7 @@
 	assert.Equal(t, n.do(t, call{path: "/book/1"}).status, http.StatusServiceUnavailable, "gone for good")
 }
 
-// Guards against callers that are sent to a stopping node, and a stop that cuts off streams in progress.
+// Guards against sending callers to a stopping node, and against a stop that cuts off streams in progress.
 func TestStopDrains(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
