--- a/internal/edge/peerrows.go
+++ b/internal/edge/peerrows.go
@@ -70,7 +70,7 @@
 		n = &peerNode{addedAt: time.Now()}
 		p.nodes[row.Key] = n
 	}
-	if n.lastBeat == nil || node.Started > n.lastBeat.Started {
+	if n.lastHeartbeat == nil || node.Started > n.lastHeartbeat.Started {
 		n.addr = node.PeerAddr
 	}
 	n.rowVersion = row.Version
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -36,10 +36,10 @@
 
 // peerNode is what this node knows of another node.
 type peerNode struct {
-	addr       string // for datagrams
-	lastBeat   *pb.PeerBeat
-	receivedAt time.Time
-	sentAt     time.Time
+	addr          string // for datagrams
+	lastHeartbeat *pb.PeerBeat
+	receivedAt    time.Time
+	sentAt        time.Time
 	// rowVersion is the version of its row in the store; 0 without a row.
 	rowVersion uint64
 	addedAt    time.Time
@@ -145,8 +145,8 @@
 	timeout := p.aliveTimeout()
 	var out []*pb.PeerBeat
 	for _, n := range p.nodes {
-		if n.lastBeat != nil && now.Sub(n.receivedAt) < timeout {
-			out = append(out, n.lastBeat)
+		if n.lastHeartbeat != nil && now.Sub(n.receivedAt) < timeout {
+			out = append(out, n.lastHeartbeat)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
@@ -160,7 +160,7 @@
 	defer p.mu.Unlock()
 	timeout := max(dutyHolderTimeout, 3*p.heartbeatIntervalLocked())
 	for _, n := range p.nodes {
-		if n.lastBeat != nil && n.lastBeat.HoldsDuties && !n.lastBeat.Leaving && now.Sub(n.receivedAt) < timeout {
+		if n.lastHeartbeat != nil && n.lastHeartbeat.HoldsDuties && !n.lastHeartbeat.Leaving && now.Sub(n.receivedAt) < timeout {
 			return true
 		}
 	}
@@ -219,7 +219,7 @@
 		n = &peerNode{addedAt: now}
 		p.nodes[beat.Node] = n
 	}
-	previous := n.lastBeat
+	previous := n.lastHeartbeat
 	if beat.NewsOnly && (previous == nil || previous.Started != beat.Started) {
 		p.mu.Unlock()
 		return // the full heartbeat follows soon
@@ -233,10 +233,10 @@
 	isNew := previous == nil || now.Sub(n.receivedAt) > p.aliveTimeout() || previous.Started != beat.Started
 	n.receivedAt, n.addr = now, beat.PeerAddr
 	if !beat.NewsOnly {
-		n.lastBeat = beat
+		n.lastHeartbeat = beat
 	}
 	for name, seed := range p.nodes {
-		if seed.lastBeat == nil && seed.addr == beat.PeerAddr && name != beat.Node {
+		if seed.lastHeartbeat == nil && seed.addr == beat.PeerAddr && name != beat.Node {
 			n.rowVersion = max(n.rowVersion, seed.rowVersion)
 			delete(p.nodes, name)
 		}
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -55,7 +55,7 @@
 			}
 			for i := range nodes {
 				if name := fmt.Sprintf("n-%02d", i); i != self {
-					p.nodes[name] = &peerNode{lastBeat: &pb.PeerBeat{Node: name, StoreLost: lost(i)}, receivedAt: now}
+					p.nodes[name] = &peerNode{lastHeartbeat: &pb.PeerBeat{Node: name, StoreLost: lost(i)}, receivedAt: now}
 				}
 			}
 			if p.readers.selected() && !lost(self) {
@@ -177,7 +177,7 @@
 			assert.Check(t, ahead <= 3*paceBytes, "%.0f bytes above the allowed rate", ahead)
 		}
 		for i := range 85 {
-			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), lastBeat: &pb.PeerBeat{}, receivedAt: begin}
+			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), lastHeartbeat: &pb.PeerBeat{}, receivedAt: begin}
 		}
 		var work sync.WaitGroup
 		work.Go(func() { p.send(t.Context()) })
--- a/internal/edge/peersend.go
+++ b/internal/edge/peersend.go
@@ -188,7 +188,7 @@
 			delete(p.nodes, name)
 			continue
 		}
-		if (n.lastBeat != nil && silent < timeout) || now.Sub(n.sentAt) > silentProbeInterval {
+		if (n.lastHeartbeat != nil && silent < timeout) || now.Sub(n.sentAt) > silentProbeInterval {
 			n.sentAt = now
 			out = append(out, n.addr)
 		}
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -38,7 +38,8 @@
 	notRun
 	// responseLost means that the request may have run, but no usable response arrived.
 	responseLost
-	// serverFailed means that the server ran the request and failed; its response is kept.
+	// serverFailed means that the server ran the request and failed. Its response is kept: the caller gets it if no
+	// other server delivers one.
 	serverFailed
 	// canceled means that the caller has disconnected or the deadline has passed.
 	canceled
@@ -78,11 +79,11 @@
 // sendUntilDelivered sends a request to one server after the other.
 func (n *Node) sendUntilDelivered(ctx context.Context, req *request) *code.Error {
 	stream := &streamRelay{n: n, req: req}
-	var failed *bufferedResponse
+	var failedResponse *bufferedResponse
 	for {
 		ticket, refusal := n.pickServer(req)
 		if refusal != nil {
-			return n.giveUp(req, stream, failed, refusal)
+			return n.giveUp(req, stream, failedResponse, refusal)
 		}
 		req.triedServers = append(req.triedServers, ticket.Server.ID)
 		req.expected, req.sentAt, req.prefill = ticket.Expected, time.Now(), ticket.Prefill()
@@ -91,10 +92,10 @@
 			return nil
 		}
 		if result.response != nil {
-			failed = result.response
+			failedResponse = result.response
 		}
 		if refusal := n.checkRetry(ctx, req, result); refusal != nil {
-			return n.giveUp(req, stream, failed, refusal)
+			return n.giveUp(req, stream, failedResponse, refusal)
 		}
 	}
 }
@@ -231,7 +232,7 @@
 func (req *request) lastSendUnresolved() bool { return req.sends < len(req.triedServers) }
 
 // giveUp ends a request that is not sent to any further server.
-func (n *Node) giveUp(req *request, stream *streamRelay, failed *bufferedResponse, refusal *code.Error) *code.Error {
+func (n *Node) giveUp(req *request, stream *streamRelay, failedResponse *bufferedResponse, refusal *code.Error) *code.Error {
 	if stream.headerSent {
 		// The caller has part of the response; only closing the connection shows that it is incomplete.
 		req.outcome, req.reason = logline.BrokenOff, refusal.Message
@@ -239,8 +240,8 @@
 		n.abort(req)
 		return nil
 	}
-	if failed != nil && refusal.Code != code.CallerGone {
-		n.writeResponse(req, failed)
+	if failedResponse != nil && refusal.Code != code.CallerGone {
+		n.writeResponse(req, failedResponse)
 		req.outcome = logline.ServerFailed
 		return nil
 	}
