--- /dev/null
+++ b/internal/edge/storereaders.go
@@ -0,0 +1,151 @@
+package edge
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/pollenlug/pollenlug/internal/clock"
+	"github.com/pollenlug/pollenlug/internal/logline"
+	"github.com/pollenlug/pollenlug/pkg/platform"
+)
+
+const (
+	// maxStoreReaders is how many nodes long-poll each table of the store; the others learn of changes from heartbeats.
+	// It is the size of a small deployment, so that larger ones make no more calls. All readers lose the store at the
+	// same time only if nearly all nodes do.
+	maxStoreReaders = 8
+	// storePollTimeout is the timeout of one long poll. It can be long because keep-alive probes detect a dead
+	// connection earlier, and peers announce newer versions.
+	storePollTimeout = 20 * time.Second
+	// readerRetryDelay is the delay of a store reader after a failed read; failed calls are charged as well.
+	readerRetryDelay = 400 * time.Millisecond
+	// otherRetryDelay is the mean delay, randomized by half of it, of the other nodes, which only check whether the
+	// store has recovered.
+	otherRetryDelay = 2 * time.Second
+	// selectionInterval is how often a node that is not selected checks whether it is now.
+	selectionInterval = 100 * time.Millisecond
+)
+
+// readerSelection selects the nodes that read the store: the first by name among those that can reach it. There is no
+// election by messages, and nodes that hear from no other node all read.
+type readerSelection struct {
+	// readerRank is this node's rank among the nodes that can reach the store, nodeRank the one among all nodes.
+	readerRank, nodeRank func() int
+	// lost is the number of this node's store reads that currently fail.
+	lost *atomic.Int32
+}
+
+// selected reports whether this node reads the store.
+func (s *readerSelection) selected() bool { return s.readerRank() < maxStoreReaders }
+
+// retryDelay returns the delay after a failed read.
+func (s *readerSelection) retryDelay() time.Duration {
+	if s.nodeRank() < maxStoreReaders {
+		return readerRetryDelay
+	}
+	return otherRetryDelay/2 + rand.N(otherRetryDelay)
+}
+
+// tableReader reads a table of the store and the changes to it.
+type tableReader struct {
+	store Store
+	table string
+	// beforeSnapshot is called before the whole table is read; it may be nil.
+	beforeSnapshot func(ctx context.Context) error
+	// apply is called with each row of the table, and later with each change.
+	apply func(ctx context.Context, c platform.Change) error
+}
+
+// step reads once. It returns the version from which the next step continues; 0 makes that one read the whole table.
+func (r *tableReader) step(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
+	if since == 0 {
+		return r.readAll(ctx)
+	}
+	changes, version, err := r.store.Changes(ctx, r.table, since, wait)
+	if errors.Is(err, platform.ErrHistoryGone) {
+		return 0, nil
+	}
+	if err != nil {
+		return since, err
+	}
+	for _, c := range changes {
+		if err := r.apply(ctx, c); err != nil {
+			return since, err
+		}
+	}
+	return max(version, since), nil
+}
+
+func (r *tableReader) readAll(ctx context.Context) (uint64, error) {
+	if r.beforeSnapshot != nil {
+		if err := r.beforeSnapshot(ctx); err != nil {
+			return 0, err
+		}
+	}
+	rows, version, err := r.store.Snapshot(ctx, r.table)
+	if err != nil {
+		return 0, err
+	}
+	for _, row := range rows {
+		if err := r.apply(ctx, platform.Change{Row: row}); err != nil {
+			return 0, err
+		}
+	}
+	return version, nil
+}
+
+// watch calls step until ctx ends: once at the start, then while this node is selected.
+func (s *readerSelection) watch(ctx context.Context, dep *dependency,
+	step func(ctx context.Context, since uint64, wait time.Duration) (uint64, error)) {
+	since := uint64(0)
+	for ctx.Err() == nil {
+		if since != 0 && !s.selected() && !dep.isLost() {
+			clock.Sleep(ctx, selectionInterval)
+			continue
+		}
+		wait := storePollTimeout
+		if dep.isLost() {
+			wait = 0 // return at once, so that peers learn immediately that the store has recovered
+		}
+		var err error
+		if since, err = step(ctx, since, wait); err != nil && ctx.Err() == nil {
+			dep.markLost(err)
+			clock.Sleep(ctx, s.retryDelay())
+			continue
+		}
+		dep.markAvailable()
+	}
+}
+
+// dependency logs each loss and recovery of a dependency of the node once.
+type dependency struct {
+	log  *logrus.Entry
+	name string
+	// lost counts the node's lost dependencies.
+	lost   *atomic.Int32
+	lostAt time.Time
+}
+
+func (d *dependency) isLost() bool { return !d.lostAt.IsZero() }
+
+func (d *dependency) markLost(err error) {
+	if !d.isLost() {
+		d.lostAt = time.Now()
+		d.lost.Add(1)
+		d.log.WithError(err).WithField(logline.Dependency, d.name).Warning(logline.DependencyLost)
+	}
+}
+
+func (d *dependency) markAvailable() {
+	if d.isLost() {
+		d.log.WithFields(logrus.Fields{logline.Dependency: d.name, "after": fmt.Sprint(time.Since(d.lostAt))}).Info(logline.DependencyBack)
+		d.lost.Add(-1)
+		d.lostAt = time.Time{}
+	}
+}
