--- a/pkg/claim/attempt.go
+++ b/pkg/claim/attempt.go
@@ -50,7 +50,7 @@
 type decisionKind int
 
 const (
-	// retryWrite: the read was stale or failed; the conditional write is repeated.
+	// retryWrite: the read failed, was stale or may be stale; the conditional write is repeated.
 	retryWrite decisionKind = iota
 	// confirmed: the row with this version belongs to the attempt.
 	confirmed
--- a/pkg/claim/background.go
+++ b/pkg/claim/background.go
@@ -21,8 +21,9 @@
 // maxWriteBackoff they take several times longer than reads stay stale.
 const maxWriteConflicts = 12
 
-// backgroundWrite writes the state DONE or CANCELLED. It is repeated until it is confirmed or superseded, and it counts
-// as open, so that MaxOpen bounds the number of background writes.
+// backgroundWrite writes the state DONE or CANCELLED. It is repeated until it is confirmed or superseded, or until
+// maxWriteConflicts is exceeded. It counts as open, so that MaxOpen bounds the number of background writes that end
+// attempts of this node. storeOutcomeOfOtherNode does not check MaxOpen.
 type backgroundWrite struct {
 	c         *Claims
 	key       string
@@ -32,33 +33,33 @@
 	cond      platform.Condition
 	wait      time.Duration
 	conflicts int
-	// finish is called once, at the end.
+	// finish is called once, when the write ends.
 	finish func()
 }
 
-// cancellationWrite returns a write of CANCELLED that replaces the row of an abandoned attempt. If the row does not
-// exist yet, the write uses the condition of the attempt's last write, so that a late write of the attempt can no longer
-// take effect.
+// cancellationWrite returns a write of CANCELLED for an abandoned attempt. If the attempt's row was confirmed, cond names
+// its version and the write replaces the row. Otherwise cond is the condition of the attempt's last write, so that a late
+// write of the attempt can no longer take effect.
 func (c *Claims) cancellationWrite(e *entry, cond platform.Condition) *backgroundWrite {
 	w := &backgroundWrite{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_CANCELLED, cond: cond}
 	w.value = c.row(e, pb.ClaimRow_CANCELLED, nil)
 	w.finish = func() {
 		c.withLock(e, func(s *shard) {
 			// Other nodes may read the DISPATCHED row for a few more seconds.
-			s.retain(retainedItem{until: c.o.Now().Add(c.o.Keep), attempt: e.attempt})
+			s.keep(keptItem{until: c.o.Now().Add(c.o.Keep), attempt: e.attempt})
 		})
 	}
 	return w
 }
 
-// outcomeWrite returns a write of DONE for an attempt of this node. The attempt stays in memory until the write is
-// confirmed and for Options.Keep after that.
+// outcomeWrite returns a write of DONE for an attempt of this node. The attempt stays in memory until the write ends and
+// for Options.Keep after that.
 func (c *Claims) outcomeWrite(e *entry, version uint64, out Outcome) *backgroundWrite {
 	w := &backgroundWrite{c: c, key: e.key, attempt: e.attempt, state: pb.ClaimRow_DONE}
 	w.cond = platform.Condition{Kind: platform.VersionIs, Version: version}
 	w.value = c.row(e, pb.ClaimRow_DONE, out.toPB())
 	w.finish = func() {
-		c.withLock(e, func(s *shard) { s.retain(retainedItem{until: c.o.Now().Add(c.o.Keep), entry: e}) })
+		c.withLock(e, func(s *shard) { s.keep(keptItem{until: c.o.Now().Add(c.o.Keep), entry: e}) })
 	}
 	return w
 }
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -26,9 +26,10 @@
 //
 // A row expires Options.Retention after it was written. Expired rows may be replaced or purged, in any state; a
 // DISPATCHED row is not replaced or purged before that, unless its attempt was abandoned. Nodes allow for a difference
-// of expirySlack between their wall clocks. Once its row has expired, a key may be used for a new call. A holder that was
-// paused past that time does not run the old call, because it checks the store timeout right before it sends. CANCELLED
-// rows may be replaced at any time, also by a call with another digest, since no call ran.
+// of expirySlack between their wall clocks. Once its row has expired, a key is forgotten: a request that carries it is a
+// new call, also if it is a resend. A holder that was paused past that time does not run the old call, because it checks
+// the store timeout right before it sends. CANCELLED rows may be replaced at any time, also by a call with another
+// digest, since no call ran.
 package claim
 
 import (
@@ -90,7 +91,7 @@
 	Body        []byte
 }
 
-// Sent tells whether any byte of a failed call may have left the node.
+// Sent reports whether any byte of a failed call may have left the node.
 type Sent int
 
 // Values of Sent.
@@ -129,7 +130,8 @@
 	Now func() time.Time
 	// Jitter returns a random number from 0 to 1.
 	Jitter func() float64
-	// StoreTimeout is the longest time from the start of a call to its confirmed claim.
+	// StoreTimeout is the longest time from the start of a call to its confirmed claim. Each replacement of another
+	// attempt's row gets the same time again. StoreTimeout also bounds each transaction and each read of a background write.
 	StoreTimeout time.Duration
 	// PeerTimeout bounds one query to a node, QueryTimeout one query to a service.
 	PeerTimeout, QueryTimeout time.Duration
@@ -137,14 +139,15 @@
 	SendTimeout time.Duration
 	// Retention is the time from the write of a row to its expiry.
 	Retention time.Duration
-	// Keep is how long an outcome stays in memory after it is stored, for callers and nodes that read a stale row.
+	// Keep is how long an outcome or the id of a cancelled attempt stays in memory after it is stored, for callers and
+	// nodes that read a stale row.
 	Keep time.Duration
 	// MaxOpen bounds open attempts and background writes together; further calls are refused.
 	MaxOpen int
 	// GroupWait and GroupRows bound a group of writes by waiting time and number of rows.
 	GroupWait time.Duration
 	GroupRows int
-	// RetryAfter is the retry time that errors carry.
+	// RetryAfter is the retry time in errors after which a retry may help.
 	RetryAfter time.Duration
 }
 
@@ -194,7 +197,7 @@
 	retention atomic.Int64
 	// background counts the background writes, which open counts too.
 	background counter
-	// purgeAfter is the last key of the page that Purge read last; empty at the start of the table.
+	// purgeAfter is the key after which Purge continues, or empty for the start of the table.
 	purgeMu    sync.Mutex
 	purgeAfter string
 }
@@ -249,7 +252,7 @@
 	s := c.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.evictExpired(c.o.Now())
+	s.dropExpiredItems(c.o.Now())
 	if e := s.entries[key]; e != nil {
 		if e.digest != call.Digest && e.phase == claiming {
 			// Until the claim is confirmed, it is undecided which digest the key belongs to.
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -163,11 +163,11 @@
 // Guards against a second run while the holder waits for the response, whether its peers can query it or not.
 func TestHolderIsolatedBeforeResponse(t *testing.T) {
 	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
-		answers := make(chan Outcome)
+		outcomes := make(chan Outcome)
 		go func() {
 			out, _, err := c.do(t.Context(), a, "k", 1, behaviour{delay: 2 * time.Minute})
 			assert.Check(t, err)
-			answers <- out
+			outcomes <- out
 		}()
 		time.Sleep(time.Minute)
 		_, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
@@ -175,7 +175,7 @@
 		a.setFailure(false, true)
 		_, _, err = c.do(t.Context(), b, "k", 1, behaviour{})
 		assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
-		first := <-answers
+		first := <-outcomes
 		time.Sleep(time.Second)
 		out, _, err := c.do(t.Context(), b, "k", 1, behaviour{})
 		assert.NilError(t, err)
@@ -195,15 +195,15 @@
 			})
 		}
 		wg.Wait()
-		answers := 0
+		successes := 0
 		for _, err := range errs {
 			if err == nil {
-				answers++
+				successes++
 				continue
 			}
 			assertError(t, err, code.CallInProgress, code.RanUnknown)
 		}
-		assert.Equal(t, answers, 2, "both callers of the winning node get the outcome")
+		assert.Equal(t, successes, 2, "both callers of the winning node get the outcome")
 		assert.Equal(t, c.service.runsOf("k"), 1)
 	})
 }
@@ -240,7 +240,7 @@
 			assertError(t, err, code.OutcomeUnknown, code.RanUnknown)
 		}
 		assert.Equal(t, c.service.runsOf("lost"), 0)
-		_, _, err = c.do(t.Context(), a, "answer", 1, behaviour{lostAnswer: true})
+		_, _, err = c.do(t.Context(), a, "answer", 1, behaviour{lostResponse: true})
 		assert.NilError(t, err, "the service knows the outcome")
 	})
 }
--- a/pkg/claim/harness_test.go
+++ b/pkg/claim/harness_test.go
@@ -22,8 +22,8 @@
 type behaviour struct {
 	// delay is the time before the call runs and again the time before its response.
 	delay time.Duration
-	// unsent fails before a byte is sent, lostCall after the send without a run, and lostAnswer after the run.
-	unsent, lostCall, lostAnswer bool
+	// unsent fails before a byte is sent, lostCall after the send without a run, and lostResponse after the run.
+	unsent, lostCall, lostResponse bool
 }
 
 // service is a backend service that counts the runs of each key.
@@ -177,7 +177,7 @@
 		mu.Unlock()
 		out := c.service.run(key, digest)
 		time.Sleep(b.delay)
-		if dead, _ := n.failure(); dead || b.lostAnswer {
+		if dead, _ := n.failure(); dead || b.lostResponse {
 			return Outcome{}, MaybeSent, backend.ErrInterrupted
 		}
 		return out, MaybeSent, nil
--- a/pkg/claim/random_test.go
+++ b/pkg/claim/random_test.go
@@ -90,7 +90,7 @@
 	c.timeout = time.Duration(rapid.SampledFrom([]int{5_003, 50_007, 400_011, 60_000_013}).Draw(t, "timeout")) * time.Microsecond
 	c.behaviour = rapid.SampledFrom([]behaviour{
 		{}, {delay: time.Millisecond}, {delay: 300 * time.Millisecond}, {delay: 40 * time.Second},
-		{unsent: true}, {unsent: true}, {lostCall: true}, {lostAnswer: true},
+		{unsent: true}, {unsent: true}, {lostCall: true}, {lostResponse: true},
 	}).Draw(t, "behaviour")
 	return c
 }
--- a/pkg/claim/state.go
+++ b/pkg/claim/state.go
@@ -55,8 +55,8 @@
 	return e.outcome, nil
 }
 
-// retainedItem is an attempt or an attempt id that is dropped from memory at a given time.
-type retainedItem struct {
+// keptItem is an attempt or an attempt id that stays in memory until a given time, see Options.Keep.
+type keptItem struct {
 	until   time.Time
 	entry   *entry // or nil
 	attempt string // an abandoned attempt
@@ -64,12 +64,12 @@
 
 type shard struct {
 	mu sync.Mutex
-	// entries holds, by row key, the open attempt or the one whose outcome is retained.
+	// entries holds, by row key, the open attempt or the one whose outcome is kept in memory.
 	entries map[string]*entry
 	// abandoned holds the ids of attempts that were not sent and never will be.
 	abandoned map[string]struct{}
-	// retained is in ascending order of time, because all items are retained for the same duration.
-	retained []retainedItem
+	// kept is in ascending order of time, because all items are kept for Options.Keep.
+	kept []keptItem
 }
 
 // The methods below require the shard's lock.
@@ -97,31 +97,32 @@
 	s.answer(e, Outcome{}, refusal)
 }
 
-func (s *shard) retain(item retainedItem) {
-	s.retained = append(s.retained, item)
+func (s *shard) keep(item keptItem) {
+	s.kept = append(s.kept, item)
 }
 
-func (s *shard) evictExpired(now time.Time) {
+// dropExpiredItems drops the items whose time has passed. Expired rows are deleted by Purge.
+func (s *shard) dropExpiredItems(now time.Time) {
 	n := 0
-	for n < len(s.retained) && !now.Before(s.retained[n].until) {
-		if e := s.retained[n].entry; e != nil {
+	for n < len(s.kept) && !now.Before(s.kept[n].until) {
+		if e := s.kept[n].entry; e != nil {
 			s.remove(e)
 		}
-		delete(s.abandoned, s.retained[n].attempt)
+		delete(s.abandoned, s.kept[n].attempt)
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	clear(s.retained[:n]) // releases the outcomes although the slice keeps its backing array
-	s.retained = s.retained[n:]
+	clear(s.kept[:n]) // releases the outcomes although the slice keeps its backing array
+	s.kept = s.kept[n:]
 }
 
 // counter is a concurrent counter that callers can wait on to reach zero.
 type counter struct {
 	mu   sync.Mutex
 	n    int
-	zero chan struct{} // closed at zero; nil when nobody waits
+	zero chan struct{} // closed at zero; nil when no caller waits
 }
 
 func (c *counter) add() {
