--- a/pkg/strike/strike.go
+++ b/pkg/strike/strike.go
@@ -22,10 +22,11 @@
 //     (less than a gossip delay after the crash) crashes one more server per such resend.
 //   - On one node, Began refuses a second run of a request with a strike while the first is in flight. Across nodes,
 //     two isolated runs of the same request can overlap.
-//   - Two servers of a failure domain that are lost within the window to a common cause, with the same harmless request
-//     retried from the first to the second, look like a poison request. Its quarantine ends when the record expires.
-//   - An unrelated crash in the same failure domain within the window makes a poison request look harmless once. Two
-//     different poison requests that crash servers within one window clear each other for that time.
+//   - Two servers of a failure domain that are lost within the window to a common cause, with the same unrelated request
+//     retried from the first to the second, make that request look like a poison request. Its quarantine ends when the
+//     record expires.
+//   - An unrelated crash in the same failure domain within the window has the strike of a poison request withdrawn once.
+//     Two different poison requests that crash servers within one window can do the same to each other for that time.
 package strike
 
 import (
@@ -125,14 +126,14 @@
 	// interrupted holds, by digest, the runs whose connection broke and whose server may turn out to have crashed.
 	interrupted map[string][]*Run
 	records     map[string]*record
-	crashes     []crash // within the last Window plus Delay
+	crashes     []crash // the last maxCrashes; decided ones for Window plus Delay
 	changed     map[string]bool
 }
 
 // Outcome is the way in which a run ended.
 type Outcome uint8
 
-// The outcomes. Completed withdraws the strikes that the request had when the run began. Interrupted means that the
+// The outcomes. Completed withdraws the strikes that the request had when the run started. Interrupted means that the
 // connection broke; a crash of the server within Options.Linger still gives the request a strike, since crashes are
 // often noticed later. Abandoned is any other end, such as a cancellation by the caller or a refusal by the server.
 const (
@@ -145,7 +146,7 @@
 type Run struct {
 	tracker        *Tracker
 	server, digest string
-	began          time.Time
+	startedAt      time.Time
 	interruptedAt  time.Time
 	ended          bool
 }
@@ -243,7 +244,7 @@
 	if state >= Held || state == Isolate && t.inFlight[digest] > 0 {
 		return nil, false
 	}
-	r := &Run{tracker: t, server: server, digest: digest, began: now}
+	r := &Run{tracker: t, server: server, digest: digest, startedAt: now}
 	if t.running[server] == nil {
 		t.running[server] = make(map[*Run]bool)
 	}
@@ -274,7 +275,7 @@
 	}
 	t.removeRun(r)
 	if outcome == Completed {
-		t.withdrawBefore(r.digest, r.began, now)
+		t.withdrawBefore(r.digest, r.startedAt, now)
 	}
 }
 
@@ -293,13 +294,13 @@
 	}
 }
 
-func (t *Tracker) withdrawBefore(digest string, began, now time.Time) {
+func (t *Tracker) withdrawBefore(digest string, startedAt, now time.Time) {
 	r := t.records[digest]
 	if r == nil {
 		return
 	}
 	for incident, at := range r.struck {
-		if !at.After(began) {
+		if !at.After(startedAt) {
 			t.withdraw(digest, r, incident, now)
 		}
 	}
@@ -316,7 +317,9 @@
 }
 
 // Crashed gives a provisional strike to each request in flight on a crashed server. Tick decides on it later. The same
-// crash may be reported again; if HadNotice or Unreachable is set by then, its strikes are withdrawn.
+// crash may be reported again: if HadNotice or Unreachable is set by then, for example because a reclaim notice became
+// known, its strikes are withdrawn. That needs the crash in t.crashes, which holds the last maxCrashes crashes, and
+// decided ones only for Window plus Delay.
 func (t *Tracker) Crashed(c Crash, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -465,15 +468,15 @@
 }
 
 // Merge merges the record of a digest received from another node and reports whether this node's record changed.
-func (t *Tracker) Merge(digest string, heard Record, now time.Time) bool {
+func (t *Tracker) Merge(digest string, received Record, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(heard.Servers) == 0 {
+	if len(received.Servers) == 0 {
 		return false
 	}
 	r := t.recordFor(digest, now)
 	changed := false
-	for _, name := range heard.Servers {
+	for _, name := range received.Servers {
 		incident, withdrawn := strings.CutPrefix(name, withdrawnMark)
 		_, struck := r.struck[incident]
 		full := len(r.struck)+len(r.withdrawn) >= maxIncidents
@@ -488,7 +491,7 @@
 		}
 		changed = true
 	}
-	if heard.Quarantined && !r.quarantined {
+	if received.Quarantined && !r.quarantined {
 		r.quarantined = true
 		changed = true
 	}
@@ -497,7 +500,7 @@
 	}
 	// Several nodes write the same gossip key. If the sender's record lacks anything that this node has, the merged record
 	// must be published again, or the difference would be lost.
-	if !sameRecord(r.export(), heard) {
+	if !sameRecord(r.export(), received) {
 		t.changed[digest] = true
 	}
 	return changed
--- a/pkg/strike/strike_test.go
+++ b/pkg/strike/strike_test.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-func begin(t *testing.T, tc *testCluster, node int, server, digest string) *Run {
+func startRun(t *testing.T, tc *testCluster, node int, server, digest string) *Run {
 	t.Helper()
 	r, ok := tc.nodes[node].Began(server, digest, tc.now)
 	assert.Assert(t, ok, "%s on %s", digest, server)
@@ -80,7 +80,7 @@
 func TestPoisonRequestCrashesAtMostTwoServers(t *testing.T) {
 	tc := newTestCluster(8)
 	lost := 0
-	var innocents []string
+	var unrelated []string
 	for resend := range 60 {
 		node := resend % len(tc.nodes)
 		// The node retries by itself until the request is refused. Then the caller resends through the next node.
@@ -97,11 +97,11 @@
 			if state == Clear {
 				for k := range 5 {
 					name := fmt.Sprintf("innocent-%d-%d", lost, k)
-					begin(t, tc, k%8, server, name)
-					innocents = append(innocents, name)
+					startRun(t, tc, k%8, server, name)
+					unrelated = append(unrelated, name)
 				}
 			}
-			run := begin(t, tc, node, server, "poison")
+			run := startRun(t, tc, node, server, "poison")
 			tc.run(100 * time.Millisecond)
 			run.Ended(Interrupted, tc.now)
 			tc.run(200 * time.Millisecond)
@@ -112,11 +112,11 @@
 		tc.run(50 * time.Millisecond)
 	}
 	assert.Equal(t, lost, 2)
-	for i, name := range innocents {
+	for i, name := range unrelated {
 		if tc.state(0, name) == Clear {
 			continue // cleared already, because for this request the second crash looked correlated
 		}
-		run := begin(t, tc, i%8, "fresh", name)
+		run := startRun(t, tc, i%8, "fresh", name)
 		tc.run(100 * time.Millisecond)
 		run.Ended(Completed, tc.now)
 		tc.run(time.Second)
@@ -131,14 +131,14 @@
 // all nodes after an isolated run succeeded.
 func TestUnrelatedRequestIsClearedByIsolatedRun(t *testing.T) {
 	tc := newTestCluster(3)
-	begin(t, tc, 0, "s1", "poison")
-	begin(t, tc, 1, "s1", "innocent")
+	startRun(t, tc, 0, "s1", "poison")
+	startRun(t, tc, 1, "s1", "innocent")
 	tc.reportCrash(Crash{Server: "s1", Domain: "d0", Started: 1})
 	tc.run(4 * time.Second)
 	for node := range tc.nodes {
 		assert.Equal(t, tc.state(node, "innocent"), Isolate)
 	}
-	run := begin(t, tc, 2, "s2", "innocent")
+	run := startRun(t, tc, 2, "s2", "innocent")
 	_, ok := tc.nodes[2].Began("s3", "innocent", tc.now)
 	assert.Assert(t, !ok, "a second run of a request with a strike has started")
 	run.Ended(Completed, tc.now)
@@ -168,7 +168,7 @@
 		for s := range test.servers {
 			for k := range 6 {
 				name := fmt.Sprintf("r%d-%d", s, k)
-				run := begin(t, tc, k%4, fmt.Sprint("s", s), name)
+				run := startRun(t, tc, k%4, fmt.Sprint("s", s), name)
 				if name == "r0-0" {
 					retried = run
 				}
@@ -179,7 +179,7 @@
 		for s := range test.servers {
 			if s == 1 {
 				retried.Ended(Interrupted, tc.now)
-				begin(t, tc, 0, "s1", "r0-0")
+				startRun(t, tc, 0, "s1", "r0-0")
 			}
 			c := test.crash
 			c.Server, c.Domain, c.Started = fmt.Sprint("s", s), fmt.Sprint("d", s%test.domains), 1
@@ -198,7 +198,7 @@
 // Guards against strikes that remain although a reclaim notice becomes known after the crash.
 func TestLateNotice(t *testing.T) {
 	tc := newTestCluster(2)
-	begin(t, tc, 0, "s1", "a")
+	startRun(t, tc, 0, "s1", "a")
 	tc.reportCrash(Crash{Server: "s1", Domain: "d0", Started: 1})
 	assert.Equal(t, tc.state(0, "a"), Isolate)
 	tc.run(time.Second)
@@ -254,7 +254,7 @@
 func TestInterruptedRunsRestrictTheRequest(t *testing.T) {
 	tc := newTestCluster(1)
 	for _, want := range []State{Isolate, Held} {
-		begin(t, tc, 0, "s-"+want.String(), "a").Ended(Interrupted, tc.now)
+		startRun(t, tc, 0, "s-"+want.String(), "a").Ended(Interrupted, tc.now)
 		assert.Equal(t, tc.state(0, "a"), want)
 	}
 	tc.run(defaultLinger)
