--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -102,7 +102,7 @@
 	BetweenTokens time.Duration
 }
 
-// Server is an instance that is starting, running or leaving.
+// Server is an instance that is starting, live or leaving.
 type Server struct {
 	ID, Group, Class, Domain string
 	Reclaimable              bool
@@ -119,7 +119,7 @@
 	// Ordered holds the orders that were sent but are not in the server's report yet: the version under the model's name,
 	// "yes" under "model:adapter" and the role under "role".
 	Ordered map[string]string
-	// Draining means that a plan of this package drains the server.
+	// Draining means that the server is leaving because of an earlier plan.
 	Draining bool
 }
 
--- a/pkg/fleet/level.go
+++ b/pkg/fleet/level.go
@@ -64,11 +64,11 @@
 			bestCost, bestLevel, bestSet = cost, level, set
 		}
 	}
-	return s.lowestDomain(bestSet, bestLevel, unitPrices)
+	return s.candidateInLowestDomain(bestSet, bestLevel, unitPrices)
 }
 
-// lowestDomain returns the candidate to start in the domain of the set with the least capacity below level.
-func (s *groupPlan) lowestDomain(set uint, level float64, unitPrices []float64) (candidate, bool) {
+// candidateInLowestDomain returns the candidate to start in the domain of the set with the least capacity below level.
+func (s *groupPlan) candidateInLowestDomain(set uint, level float64, unitPrices []float64) (candidate, bool) {
 	best := -1
 	for i, c := range s.capacities {
 		if set&(1<<i) == 0 || c >= level {
@@ -88,8 +88,8 @@
 // those of cheapestSets when there are more than maxSetDomains.
 func domainSets(unitPrices []float64) []uint {
 	var open []int
-	for i, unit := range unitPrices {
-		if !math.IsInf(unit, 1) {
+	for i, price := range unitPrices {
+		if !math.IsInf(price, 1) {
 			open = append(open, i)
 		}
 	}
--- a/pkg/fleet/place.go
+++ b/pkg/fleet/place.go
@@ -99,7 +99,7 @@
 	pl.orders = append(pl.orders, &rankedOrder{Order{s.ID, o, mib, reason}, priority, demand})
 }
 
-// placeModels loads each model on the required number of servers in each failure domain.
+// placeModels adds the orders to load each model on the required number of servers in each failure domain.
 func (pl *placement) placeModels() {
 	byDomain := make([][]*Server, len(pl.p.domains))
 	anywhere := map[string]bool{}
@@ -133,8 +133,8 @@
 	return pl.p.in.Demand[m.Name].TokensPerSecond / pl.total
 }
 
-// spreadModel loads a model on servers of one failure domain until enough of them hold it. Servers with the fewest
-// models are used first.
+// spreadModel adds the orders to load a model on servers of one failure domain until enough of them hold it. Servers
+// with the fewest models are used first.
 func (pl *placement) spreadModel(servers []*Server, m Model, anywhere map[string]bool) {
 	n := float64(len(servers))
 	target := min(len(servers), max(1, m.MinPerDomain, int(math.Ceil(modelHeadroom*pl.share(m)*n))))
--- a/pkg/fleet/plan.go
+++ b/pkg/fleet/plan.go
@@ -47,7 +47,7 @@
 	return p.out
 }
 
-// price returns the price of a cell in millionths per hour, or false when the cell is not offered.
+// price returns the price per hour of a cell, in millionths of the currency unit, or false when the cell is not offered.
 func (p *planner) price(class Class, cell Cell) (uint64, bool) {
 	if len(p.prices) > 0 {
 		micros, ok := p.prices[cell]
@@ -329,7 +329,7 @@
 		}
 	}
 	for s.total < s.g.MinServers && s.canStart() {
-		c, ok := s.leastPopulated()
+		c, ok := s.candidateInSmallestDomain()
 		if !ok {
 			s.p.out.Short[s.g.Name] = "no instance can be started in any failure domain"
 			return
@@ -346,8 +346,8 @@
 	return out
 }
 
-// leastPopulated returns the cheapest candidate among the domains with the fewest servers.
-func (s *groupPlan) leastPopulated() (candidate, bool) {
+// candidateInSmallestDomain returns the cheapest candidate among the domains with the fewest servers.
+func (s *groupPlan) candidateInSmallestDomain() (candidate, bool) {
 	var best candidate
 	fewest := -1
 	for i, n := range s.counts {
--- a/pkg/fleet/plan_test.go
+++ b/pkg/fleet/plan_test.go
@@ -191,7 +191,7 @@
 	assert.Equal(t, len(s.requested), 4)
 	for cell, times := range s.requested {
 		for i := 1; i < len(times); i++ {
-			assert.Assert(t, times[i].Sub(times[i-1]) >= refusalBackoff, "%v asked at %v", cell, times)
+			assert.Assert(t, times[i].Sub(times[i-1]) >= refusalBackoff, "%v requested at %v", cell, times)
 		}
 	}
 	s.refuseStarts(false, []bool{true}, "d0", "d1", "d2", "d3")
--- a/pkg/fleet/shrink.go
+++ b/pkg/fleet/shrink.go
@@ -107,12 +107,12 @@
 		return candidate{}, ""
 	}
 	over := s.reclaimable > s.maxReclaimable(s.total)
-	mayReclaim := s.reclaimable+1 <= s.maxReclaimable(s.total)
+	reclaimableAllowed := s.reclaimable+1 <= s.maxReclaimable(s.total)
 	for _, c := range s.candidates[i] {
 		switch {
 		case v.Reclaimable && over && !c.Reclaimable:
 			return c, fmt.Sprintf("max_reclaimable_percent is %d", s.p.in.Policy.MaxReclaimablePercent)
-		case !v.Reclaimable && mayReclaim && c.Reclaimable && c.unitPrice()*replaceGain < s.unitPriceOf(v):
+		case !v.Reclaimable && reclaimableAllowed && c.Reclaimable && c.unitPrice()*replaceGain < s.unitPriceOf(v):
 			return c, "reclaimable instances are accepted and cheaper than on demand"
 		}
 	}
