--- a/pkg/code/code.go
+++ b/pkg/code/code.go
@@ -16,7 +16,7 @@
 // Code is a numbered result code. Zero means success.
 type Code uint32
 
-// Ran tells whether a failed request ran on a backend server.
+// Ran reports whether a failed request ran on a backend server.
 type Ran string
 
 // Values of Ran. RanNo is a guarantee: the request did not run and never will through this attempt.
