--- a/pkg/claim/attempt.go
+++ b/pkg/claim/attempt.go
@@ -56,8 +56,8 @@
 	confirmed
 	// replace: the row with this version has expired or belongs to an attempt that did not run.
 	replace
-	// reply: outcome or err is the result for the callers; the attempt is not sent.
-	reply
+	// resolved: outcome or err is the result for the callers; the attempt is not sent.
+	resolved
 )
 
 // run carries out one attempt. The background write that ends it takes over its slot in the open count: if both were
@@ -75,7 +75,7 @@
 func (c *Claims) attempt(ctx context.Context, e *entry, call Call, send Send) *backgroundWrite {
 	st := &claimState{e: e, call: call, row: c.row(e, pb.ClaimRow_DISPATCHED, nil)}
 	d := c.claim(ctx, st)
-	if d.kind == reply {
+	if d.kind == resolved {
 		return c.endUnsent(st, d)
 	}
 	if !c.startSend(st) {
@@ -105,7 +105,7 @@
 	return data
 }
 
-// claim writes the row until it is confirmed or the result is known. It returns a decision of kind confirmed or reply.
+// claim writes the row until it is confirmed or the result is known. It returns a decision of kind confirmed or resolved.
 func (c *Claims) claim(ctx context.Context, st *claimState) decision {
 	st.cond = platform.Condition{Kind: platform.Absent}
 	for {
@@ -115,7 +115,7 @@
 		}
 		st.replaced++
 		if st.replaced > maxReplacements {
-			return decision{kind: reply, err: c.errInProgress()}
+			return decision{kind: resolved, err: c.errInProgress()}
 		}
 		st.cond = platform.Condition{Kind: platform.VersionIs, Version: d.version}
 		st.uncertain = false
@@ -152,7 +152,7 @@
 			break
 		}
 	}
-	return decision{kind: reply, err: c.errNotClaimed(st.e)}
+	return decision{kind: resolved, err: c.errNotClaimed(st.e)}
 }
 
 func (c *Claims) setOtherMayHaveRun(e *entry, value bool) {
@@ -192,7 +192,7 @@
 	}
 	var row pb.ClaimRow
 	if err := proto.Unmarshal(r.Value, &row); err != nil {
-		return decision{kind: reply, err: code.Wrap(code.Internal, code.RanUnknown, "a claim row cannot be read", err)}
+		return decision{kind: resolved, err: code.Wrap(code.Internal, code.RanUnknown, "a claim row cannot be read", err)}
 	}
 	return c.decide(ctx, storeCtx, st, r.Version, &row)
 }
@@ -210,7 +210,7 @@
 		return c.refuseKeyReuse(storeCtx, e, version)
 	}
 	if row.State == pb.ClaimRow_DONE {
-		return decision{kind: reply, outcome: outcomeFrom(row.Outcome)}
+		return decision{kind: resolved, outcome: outcomeFrom(row.Outcome)}
 	}
 	c.setOtherMayHaveRun(e, true)
 	return c.resolveDispatched(ctx, st, version, row)
@@ -244,7 +244,7 @@
 	if _, err := c.group.commit(storeCtx, m); err != nil {
 		return decision{kind: retryWrite}
 	}
-	return decision{kind: reply, err: errKeyReused()}
+	return decision{kind: resolved, err: errKeyReused()}
 }
 
 // resolveDispatched asks the node that holds a DISPATCHED row for its outcome, then the service.
@@ -252,17 +252,17 @@
 	call := st.call
 	switch state := c.queryHolder(ctx, call, row); state.GetState() {
 	case pb.AttemptState_DONE:
-		return decision{kind: reply, outcome: outcomeFrom(state.Outcome)}
+		return decision{kind: resolved, outcome: outcomeFrom(state.Outcome)}
 	case pb.AttemptState_RUNNING:
-		return decision{kind: reply, err: c.errInProgress()}
+		return decision{kind: resolved, err: c.errInProgress()}
 	case pb.AttemptState_ABANDONED:
 		return st.replaceRow(version)
 	}
 	if out, ok := c.queryService(ctx, call, row.Attempt); ok {
 		c.storeOutcomeOfOtherNode(st.e.key, version, row, out)
-		return decision{kind: reply, outcome: out}
+		return decision{kind: resolved, outcome: out}
 	}
-	return decision{kind: reply, err: c.errUnknown("an earlier attempt may have run", platform.ErrOutcomeUnknown)}
+	return decision{kind: resolved, err: c.errUnknown("an earlier attempt may have run", platform.ErrOutcomeUnknown)}
 }
 
 // queryHolder returns nil when the holder is this node, Peers is nil or the query fails.
