--- a/internal/edge/guards.go
+++ b/internal/edge/guards.go
@@ -146,7 +146,7 @@
 func (g *crashGuard) refused(server serving.Server, now time.Time) { g.crashed(server, now) }
 
 func (g *crashGuard) crashed(s serving.Server, now time.Time) {
-	g.tracker.Crashed(strike.Crash{Server: s.ID, Domain: s.Domain, Started: s.Born, HadNotice: s.State != serving.Ready}, now)
+	g.tracker.RecordCrash(strike.Crash{Server: s.ID, Domain: s.Domain, Started: s.Born, HadNotice: s.State != serving.Ready}, now)
 }
 
 // memoryBound limits the bytes of request bodies in memory.
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -135,7 +135,7 @@
 
 // trySend sends the request to one server.
 func (n *Node) trySend(ctx context.Context, req *request, stream *streamRelay, ticket *placement.Ticket) try {
-	run, ok := n.crashes.tracker.Began(ticket.Server.ID, req.digest, time.Now())
+	run, ok := n.crashes.tracker.TryStart(ticket.Server.ID, req.digest, time.Now())
 	if !ok {
 		ticket.End(placement.Abandoned, time.Now())
 		return try{ticket: ticket, verdict: notSent, reason: "suspected of crashing servers"}
@@ -152,21 +152,21 @@
 	case answered:
 		ticket.End(placement.Served, now)
 		n.outliers.Observe(ticket.Server.ID, true)
-		run.Ended(strike.Completed, now)
+		run.End(strike.Completed, now)
 	case rejected:
 		ticket.End(placement.Refused, now)
-		run.Ended(strike.Abandoned, now)
+		run.End(strike.Abandoned, now)
 	case failedByServer:
 		ticket.End(placement.Failed, now)
 		n.outliers.Observe(ticket.Server.ID, false)
-		run.Ended(strike.Completed, now)
+		run.End(strike.Completed, now)
 	case lost, notSent:
 		ticket.End(placement.Failed, now)
 		n.outliers.Observe(ticket.Server.ID, false)
-		run.Ended(strike.Interrupted, now)
+		run.End(strike.Interrupted, now)
 	case stopped:
 		ticket.End(placement.Abandoned, now)
-		run.Ended(strike.Abandoned, now)
+		run.End(strike.Abandoned, now)
 	}
 	return t
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -96,13 +96,13 @@
 
 // Begin implements generate.Strikes. If the connection breaks during the run, the server is probed for a crash.
 func (g *guard) Begin(server *route.Server, digest string) (func(strike.Outcome), bool) {
-	run, ok := g.strikes.Began(server.ID, digest, time.Now())
+	run, ok := g.strikes.TryStart(server.ID, digest, time.Now())
 	if !ok {
 		return nil, false
 	}
 	started := g.startedAt(server.ID)
 	return func(outcome strike.Outcome) {
-		run.Ended(outcome, time.Now())
+		run.End(outcome, time.Now())
 		if outcome == strike.Interrupted {
 			go g.probe(server, started)
 		}
@@ -141,7 +141,7 @@
 // the network, so that alone is no sign of a crash.
 func (g *guard) reportCrash(server *route.Server, started int64, unreachable bool) {
 	g.metrics.Count("server_crashes", "server", server.ID, 1)
-	g.strikes.Crashed(strike.Crash{
+	g.strikes.RecordCrash(strike.Crash{
 		Server:      server.ID,
 		Domain:      server.FailureDomain,
 		Started:     started,
--- a/pkg/strike/strike.go
+++ b/pkg/strike/strike.go
@@ -20,7 +20,7 @@
 //     server. Later copies are held.
 //   - A caller that does not wait for the response and resends through a node which has not received the strike yet
 //     (less than a gossip delay after the crash) crashes one more server per such resend.
-//   - On one node, Began refuses a second run of a request with a strike while the first is in flight. Across nodes,
+//   - On one node, TryStart refuses a second run of a request with a strike while the first is in flight. Across nodes,
 //     two isolated runs of the same request can overlap.
 //   - Two servers of a failure domain that are lost within the window to a common cause, with the same unrelated request
 //     retried from the first to the second, make that request look like a poison request. Its quarantine ends when the
@@ -235,9 +235,9 @@
 	return a
 }
 
-// Began records that a request is in flight on a server. It returns false and records nothing when the request must not
-// run, because it is held or quarantined, or is to run in isolation and is already in flight.
-func (t *Tracker) Began(server, digest string, now time.Time) (*Run, bool) {
+// TryStart records that a request is in flight on a server. It returns false and records nothing when the request must
+// not run, because it is held or quarantined, or is to run in isolation and is already in flight.
+func (t *Tracker) TryStart(server, digest string, now time.Time) (*Run, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, _ := t.stateOf(digest, now)
@@ -253,8 +253,8 @@
 	return r, true
 }
 
-// Ended records the end of a run. Further calls do nothing.
-func (r *Run) Ended(outcome Outcome, now time.Time) {
+// End records the end of a run. Further calls do nothing.
+func (r *Run) End(outcome Outcome, now time.Time) {
 	t := r.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -316,11 +316,11 @@
 	t.changed[digest] = true
 }
 
-// Crashed gives a provisional strike to each request in flight on a crashed server. Tick decides on it later. The same
-// crash may be reported again: if HadNotice or Unreachable is set by then, for example because a reclaim notice became
-// known, its strikes are withdrawn. That needs the crash in t.crashes, which holds the last maxCrashes crashes, and
-// decided ones only for Window plus Delay.
-func (t *Tracker) Crashed(c Crash, now time.Time) {
+// RecordCrash gives a provisional strike to each request in flight on a crashed server. Tick decides on it later. The
+// same crash may be reported again: if HadNotice or Unreachable is set by then, for example because a reclaim notice
+// became known, its strikes are withdrawn. That needs the crash in t.crashes, which holds the last maxCrashes crashes,
+// and decided ones only for Window plus Delay.
+func (t *Tracker) RecordCrash(c Crash, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	incident := c.incident()
--- a/pkg/strike/strike_test.go
+++ b/pkg/strike/strike_test.go
@@ -58,7 +58,7 @@
 // reportCrash reports a crashed server to all nodes.
 func (tc *testCluster) reportCrash(c Crash) {
 	for _, node := range tc.nodes {
-		node.Crashed(c, tc.now)
+		node.RecordCrash(c, tc.now)
 	}
 }
 
@@ -69,7 +69,7 @@
 
 func startRun(t *testing.T, tc *testCluster, node int, server, digest string) *Run {
 	t.Helper()
-	r, ok := tc.nodes[node].Began(server, digest, tc.now)
+	r, ok := tc.nodes[node].TryStart(server, digest, tc.now)
 	assert.Assert(t, ok, "%s on %s", digest, server)
 	return r
 }
@@ -103,7 +103,7 @@
 			}
 			run := startRun(t, tc, node, server, "poison")
 			tc.run(100 * time.Millisecond)
-			run.Ended(Interrupted, tc.now)
+			run.End(Interrupted, tc.now)
 			tc.run(200 * time.Millisecond)
 			tc.reportCrash(Crash{Server: server, Domain: "d0", Started: 1})
 			lost++
@@ -118,7 +118,7 @@
 		}
 		run := startRun(t, tc, i%8, "fresh", name)
 		tc.run(100 * time.Millisecond)
-		run.Ended(Completed, tc.now)
+		run.End(Completed, tc.now)
 		tc.run(time.Second)
 		for node := range tc.nodes {
 			assert.Equal(t, tc.state(node, name), Clear, name)
@@ -139,9 +139,9 @@
 		assert.Equal(t, tc.state(node, "innocent"), Isolate)
 	}
 	run := startRun(t, tc, 2, "s2", "innocent")
-	_, ok := tc.nodes[2].Began("s3", "innocent", tc.now)
+	_, ok := tc.nodes[2].TryStart("s3", "innocent", tc.now)
 	assert.Assert(t, !ok, "a second run of a request with a strike has started")
-	run.Ended(Completed, tc.now)
+	run.End(Completed, tc.now)
 	tc.run(time.Second)
 	for node := range tc.nodes {
 		assert.Equal(t, tc.state(node, "innocent"), Clear)
@@ -178,7 +178,7 @@
 		// One request is retried on the second server while the servers are lost one after another.
 		for s := range test.servers {
 			if s == 1 {
-				retried.Ended(Interrupted, tc.now)
+				retried.End(Interrupted, tc.now)
 				startRun(t, tc, 0, "s1", "r0-0")
 			}
 			c := test.crash
@@ -254,7 +254,7 @@
 func TestInterruptedRunsRestrictTheRequest(t *testing.T) {
 	tc := newTestCluster(1)
 	for _, want := range []State{Isolate, Held} {
-		startRun(t, tc, 0, "s-"+want.String(), "a").Ended(Interrupted, tc.now)
+		startRun(t, tc, 0, "s-"+want.String(), "a").End(Interrupted, tc.now)
 		assert.Equal(t, tc.state(0, "a"), want)
 	}
 	tc.run(defaultLinger)
