--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,4 +1,4 @@
-// Package claim runs non-repeatable calls at most once per workspace and key.
+// Package claim runs non-repeatable calls, such as bookings, at most once per workspace and key.
 //
 // # Design
 //
