--- a/pkg/fleet/place.go
+++ b/pkg/fleet/place.go
@@ -39,10 +39,12 @@
 	g       *Group
 	servers []*Server // live, not leaving, with a report
 	orders  []*rankedOrder
-	// models holds, by server, the models that are loaded or ordered.
+	// models holds, by server, the models that are loaded or ordered. An ordered adapter has an entry of its own, under
+	// "model:adapter".
 	models map[*Server]map[string]bool
 	total  float64 // demand
-	// updating holds the pairs of model and failure domain in which a server has an order to load the model.
+	// updating holds the pairs of model and failure domain in which a server has an order to load the model. Ordered
+	// adapters and roles have entries too, which are not used.
 	updating map[[2]string]bool
 }
 
