--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -151,6 +151,7 @@
 	duration    time.Duration
 }
 
+// storeFaults are the faults of the table service in schedules.
 var storeFaults = []table.Faults{
 	{MaxLatency: 20 * time.Millisecond},
 	{MaxLatency: 20 * time.Millisecond, LostPercent: 40, StalePercent: 50, MaxStale: 8 * time.Second},
