--- a/internal/edge/guards.go
+++ b/internal/edge/guards.go
@@ -147,7 +147,7 @@
 func (d *crashDetector) connRefused(s serving.Server, now time.Time) { d.recordCrash(s, now) }
 
 func (d *crashDetector) recordCrash(s serving.Server, now time.Time) {
-	d.tracker.Crashed(strike.Crash{Server: s.ID, Domain: s.Domain, Started: s.Born, HadNotice: s.State != serving.Ready}, now)
+	d.tracker.RecordCrash(strike.Crash{Server: s.ID, Domain: s.Domain, Started: s.Born, HadNotice: s.State != serving.Ready}, now)
 }
 
 // bodyMemory limits the memory used by request bodies, in bytes.
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -140,7 +140,7 @@
 
 // sendTo sends a request to one server and reports the outcome to the load, outlier and crash tracking.
 func (n *Node) sendTo(ctx context.Context, req *request, stream *streamRelay, ticket *placement.Ticket) sendResult {
-	run, ok := n.crashes.tracker.Began(ticket.Server.ID, req.digest, time.Now())
+	run, ok := n.crashes.tracker.TryStart(ticket.Server.ID, req.digest, time.Now())
 	if !ok {
 		ticket.End(placement.Abandoned, time.Now())
 		return sendResult{ticket: ticket, status: notSent, reason: "suspected of crashing servers"}
@@ -157,21 +157,21 @@
 	case delivered:
 		ticket.End(placement.Served, now)
 		n.outliers.Observe(ticket.Server.ID, true)
-		run.Ended(strike.Completed, now)
+		run.End(strike.Completed, now)
 	case notRun:
 		ticket.End(placement.Refused, now)
-		run.Ended(strike.Abandoned, now)
+		run.End(strike.Abandoned, now)
 	case serverFailed:
 		ticket.End(placement.Failed, now)
 		n.outliers.Observe(ticket.Server.ID, false)
-		run.Ended(strike.Completed, now)
+		run.End(strike.Completed, now)
 	case responseLost, notSent:
 		ticket.End(placement.Failed, now)
 		n.outliers.Observe(ticket.Server.ID, false)
-		run.Ended(strike.Interrupted, now)
+		run.End(strike.Interrupted, now)
 	case canceled:
 		ticket.End(placement.Abandoned, now)
-		run.Ended(strike.Abandoned, now)
+		run.End(strike.Abandoned, now)
 	}
 	return result
 }
