--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -292,7 +292,7 @@
 	}
 	now := r.nowMillis()
 	cached := c.cachedTokens(i)
-	hinted, home := c.hintedTokens(i)
+	hintedTokens, homeDepthIndex := c.hintedTokens(i)
 	pick := Pick{
 		Server:             &c.snap.servers[i],
 		ExpectedFirstToken: time.Duration(c.firstToken(e, cached) * float64(time.Second)),
@@ -300,8 +300,8 @@
 		Alone:              c.req.Isolate && others == 0 && st.queued.Load()+st.unreported.Load() <= 0,
 		router:             r,
 		state:              st,
-		hintedTokens:       uint32(hinted),
-		homeDepthIndex:     home,
+		hintedTokens:       uint32(hintedTokens),
+		homeDepthIndex:     homeDepthIndex,
 		isolated:           c.req.Isolate,
 	}
 	st.countSent(now, 1)
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -20,16 +20,16 @@
 	// recomputeUnit is the number of tokens whose repeated prefill weighs as much as the whole price term.
 	recomputeUnit      = 2048.0
 	minRecomputeWeight = 2.0 // weight of recomputed tokens at a configured weight of 0
-	// baseLossProbability is the assumed probability that a reclaimable server is lost during a request while no server of its
-	// failure domain is leaving or suspect.
+	// baseLossProbability is the assumed probability that a reclaimable server is lost during a request while no
+	// reclaimable server of its failure domain is leaving or suspect.
 	baseLossProbability = 0.01
 	// staleHintFactor is the factor on hints recorded before a gap in the cache events.
 	staleHintFactor = 0.5
 	// maxOccupancy is the share of a server's concurrency above which it counts as overloaded. The rest is reserved
 	// for requests that other nodes send before the next report.
 	maxOccupancy = 0.85
-	// scoreJitter is the range of the random term of the score. It spreads the requests of nodes that see the same reports
-	// over servers with similar scores.
+	// scoreJitter is the range of the random term of the score. It spreads the requests of nodes that see the same
+	// reports over servers with similar scores.
 	scoreJitter = 0.2
 	// adapterLoadSeconds is the time to load an adapter that is not resident, in seconds.
 	adapterLoadSeconds = 0.25
@@ -68,7 +68,7 @@
 	stage          int
 }
 
-// The stageCount of a choice. Each admits servers that the one before leaves out: suspect ones, then those on which the
+// The stages of a choice. Each admits servers that the one before leaves out: suspect ones, then those on which the
 // model is not resident.
 const (
 	stageHealthy = iota
--- a/pkg/route/state.go
+++ b/pkg/route/state.go
@@ -19,8 +19,8 @@
 	maxBias       = 4.0
 	minAccuracy   = 0.1
 	failureFactor = 1.5 // factor on the latency estimate per refusal or failure
-	// defaultStepGrowth is the assumed growth of a decode step per further request in the batch, relative to the step,
-	// until reports show the server's own slope.
+	// defaultStepGrowth is the assumed growth of a decode step per further request in the batch, relative to the step:
+	// about 1.5% until reports show the server's own slope.
 	defaultStepGrowth = 0.015
 )
 
