--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -51,8 +51,8 @@
 	return c
 }
 
-// know counts the nodes that have a version of the key from the sequence on.
-func (c *cluster) know(key string, sequence uint64) int {
+// countWith counts the nodes that have a version of the key with at least the sequence.
+func (c *cluster) countWith(key string, sequence uint64) int {
 	n := 0
 	for _, core := range c.cores {
 		if item, ok := core.Get(key); ok && item.Sequence >= sequence {
@@ -62,33 +62,34 @@
 	return n
 }
 
-// spread writes an urgent item on a node and returns the time until share of the nodes know it, at most limit.
-func (c *cluster) spread(from int, key string, share float64, limit time.Duration) (time.Duration, bool) {
-	begun := c.net.Now()
-	c.cores[from].Set(begun, key, []byte("leaving"), time.Minute, true)
-	c.net.Send(c.peers[from].Node, c.cores[from].Tick(begun))
-	for c.net.Now().Sub(begun) < limit {
+// timeToSpread writes an urgent item on a node and returns the time until a share of the nodes has it, or false after
+// the limit.
+func (c *cluster) timeToSpread(from int, key string, share float64, limit time.Duration) (time.Duration, bool) {
+	start := c.net.Now()
+	c.cores[from].Set(start, key, []byte("leaving"), time.Minute, true)
+	c.net.Send(c.peers[from].Node, c.cores[from].Tick(start))
+	for c.net.Now().Sub(start) < limit {
 		c.net.Run(10 * time.Millisecond)
-		if float64(c.know(key, 1)) >= share*float64(len(c.cores)) {
-			return c.net.Now().Sub(begun), true
+		if float64(c.countWith(key, 1)) >= share*float64(len(c.cores)) {
+			return c.net.Now().Sub(start), true
 		}
 	}
 	return limit, false
 }
 
-// Guards against an urgent item that reaches some nodes late: all of 400 must know it within 2 s.
+// Guards against an urgent item that reaches some nodes late: all 400 must have it within 2 s.
 func TestUrgentItemReachesAllWithinTwoSeconds(t *testing.T) {
 	c := newCluster(400, 1, nil)
 	c.net.Run(5 * time.Second)
 	for i := range 10 {
-		took, ok := c.spread(i*37, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
+		took, ok := c.timeToSpread(i*37, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
 		assert.Assert(t, ok, "run %d", i)
 		t.Logf("known by all after %v", took)
 		c.net.Run(time.Second)
 	}
 }
 
-// Measures the variants of push. POLLENLUG_MEASURE=1 runs enough repetitions for docs/measurements-gossip.md.
+// Measures variants of push. POLLENLUG_MEASURE=1 runs as many nodes and repetitions as docs/measurements-gossip.md has.
 func TestMeasureFanout(t *testing.T) {
 	nodes, repeats := 100, 3
 	if os.Getenv("POLLENLUG_MEASURE") != "" {
@@ -110,7 +111,7 @@
 		c.net.Sent = func(_ string, m gossip.Message) {
 			pushes += len(m.Env.GetGossipPush().GetItems())
 		}
-		// As many items as nodes, which all know, as with membership: a node with few items sends digests more often.
+		// All nodes have one item per node, as with membership: a node with few items would send digests more often.
 		for i := range nodes {
 			for _, core := range c.cores {
 				core.Put(c.net.Now(), &pb.GossipItem{Key: fmt.Sprintf("member/n%03d", i), Incarnation: 1, Sequence: 1})
@@ -118,33 +119,33 @@
 		}
 		c.net.Run(time.Minute)
 		pushes = 0
-		var half, all []time.Duration
+		var most, all []time.Duration
 		missed, reached := 0, 0
 		for i := range repeats {
 			key := fmt.Sprintf("member/x%d", i)
 			from := i * 37 % nodes
-			took, ok := c.spread(from, key, 0.99, 2*time.Second)
-			half = append(half, took)
-			begun := c.net.Now()
-			for c.know(key, 1) < nodes && c.net.Now().Sub(begun) < 2*time.Second-took {
+			took, ok := c.timeToSpread(from, key, 0.99, 2*time.Second)
+			most = append(most, took)
+			start := c.net.Now()
+			for c.countWith(key, 1) < nodes && c.net.Now().Sub(start) < 2*time.Second-took {
 				c.net.Run(10 * time.Millisecond)
 			}
-			all = append(all, took+c.net.Now().Sub(begun))
-			reached += c.know(key, 1)
-			if c.know(key, 1) < nodes || !ok {
+			all = append(all, took+c.net.Now().Sub(start))
+			reached += c.countWith(key, 1)
+			if c.countWith(key, 1) < nodes || !ok {
 				missed++
 			}
 			c.net.Run(10 * time.Second)
 		}
-		slices.Sort(half)
+		slices.Sort(most)
 		slices.Sort(all)
 		t.Logf("%-18s nodes %d: 99%% of nodes median %v max %v; all nodes median %v max %v; runs over 2 s %d of %d; reached in 2 s %.2f%%; pushes per node and item %.2f",
-			v.name, nodes, half[len(half)/2], half[len(half)-1], all[len(all)/2], all[len(all)-1], missed, repeats,
+			v.name, nodes, most[len(most)/2], most[len(most)-1], all[len(all)/2], all[len(all)-1], missed, repeats,
 			100*float64(reached)/float64(repeats*nodes), float64(pushes)/float64(repeats*nodes))
 	}
 }
 
-// storm runs write on each node and second and fails when a node sends more than its budget.
+// storm calls write for each node once per second, and fails the test if a node sends more than its budget.
 func (c *cluster) storm(t *testing.T, seconds int, write func(core *gossip.Core, node, second int)) {
 	t.Helper()
 	before := map[string]uint64{}
@@ -163,7 +164,7 @@
 	}
 }
 
-// Guards against a storm of ordinary writes that exceeds the budget or delays urgent items.
+// Guards against a burst of ordinary writes that exceeds the budget or delays urgent items.
 func TestStormDoesNotDelayUrgentItems(t *testing.T) {
 	c := newCluster(60, 3, nil)
 	c.net.Run(5 * time.Second)
@@ -175,17 +176,17 @@
 	c.storm(t, 30, load)
 	for i := range 5 {
 		load(c.cores[i], i, 0)
-		took, ok := c.spread(i, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
+		took, ok := c.timeToSpread(i, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
 		assert.Assert(t, ok, "urgent item %d took more than %v", i, took)
 	}
 }
 
-// Guards against a storm of urgent items, three times what the budget carries, that exceeds the budget or leaves
-// nodes without some of the items once it is over.
+// Guards against a burst of urgent items, three times as large as the budget allows, that exceeds the budget or leaves
+// nodes without some of the items after it.
 func TestUrgentStormIsRepaired(t *testing.T) {
 	c := newCluster(60, 3, nil)
 	c.net.Run(5 * time.Second)
-	// 30 items per second of 85 bytes, pushed three times, are 7.6 KB/s.
+	// 30 items of 85 bytes per second, each pushed three times, make 7.6 KB/s.
 	const writers = 30
 	c.storm(t, 10, func(core *gossip.Core, node, second int) {
 		if node < writers {
@@ -196,12 +197,12 @@
 	for node := range writers {
 		for second := range 10 {
 			key := fmt.Sprintf("strike/%d/%d", node, second)
-			assert.Equal(t, c.know(key, 1), len(c.cores), key)
+			assert.Equal(t, c.countWith(key, 1), len(c.cores), key)
 		}
 	}
 }
 
-// Guards against a region that stays out of date after minutes without contact.
+// Guards against regions that do not synchronize again after a network partition of minutes.
 func TestRegionsResyncAfterLostContact(t *testing.T) {
 	c := newCluster(60, 5, nil)
 	region := map[string]string{}
@@ -214,23 +215,23 @@
 		c.cores[i].Set(c.net.Now(), fmt.Sprintf("member/%d", i), []byte("value"), time.Hour, i%2 == 0)
 	}
 	c.net.Run(5 * time.Minute)
-	assert.Equal(t, c.know("member/0", 1), 30)
+	assert.Equal(t, c.countWith("member/0", 1), 30)
 	c.net.Drop = nil
 	c.net.Run(30 * time.Second)
 	for i := range 50 {
-		assert.Equal(t, c.know(fmt.Sprintf("member/%d", i), 1), len(c.cores), "item %d", i)
+		assert.Equal(t, c.countWith(fmt.Sprintf("member/%d", i), 1), len(c.cores), "item %d", i)
 	}
 }
 
-// Guards against items that outlive their TTL because they are forwarded, and against an older version or an
-// earlier incarnation that replaces a newer one.
+// Guards against items that outlive their TTL because they are forwarded, and against an older sequence or incarnation
+// that replaces a newer one.
 func TestVersionsAndExpiry(t *testing.T) {
 	c := newCluster(20, 9, nil)
 	c.cores[0].Set(c.net.Now(), "demand/a", []byte("1"), 5*time.Second, false)
 	c.net.Run(4 * time.Second)
-	assert.Assert(t, c.know("demand/a", 1) > 10)
+	assert.Assert(t, c.countWith("demand/a", 1) > 10)
 	c.net.Run(17 * time.Second)
-	assert.Equal(t, c.know("demand/a", 1), 0)
+	assert.Equal(t, c.countWith("demand/a", 1), 0)
 
 	now := c.net.Now()
 	core := c.cores[1]
@@ -243,7 +244,7 @@
 	assert.Equal(t, item.Sequence, uint64(6), "a write must win against every version seen")
 }
 
-// Guards against a release that fails on message kinds and fields of a newer one.
+// Guards against a release that fails on messages of a kind or length that it does not know, as a newer one may send.
 func TestUnknownKindsAreIgnored(t *testing.T) {
 	c := newCluster(2, 1, nil)
 	assert.Equal(t, len(c.cores[0].Handle(c.net.Now(), "n001", &pb.Envelope{Protocol: 9})), 0)
@@ -251,12 +252,12 @@
 	assert.Equal(t, len(c.cores[0].Handle(c.net.Now(), "n001", short)), 0)
 }
 
-// Guards against runs that differ, which would make every other test here unreliable.
+// Guards against simulations that differ between runs, which would make the other tests here unreliable.
 func TestRunsRepeat(t *testing.T) {
 	run := func() []simnet.Traffic {
 		c := newCluster(30, 11, nil)
 		c.net.Run(2 * time.Second)
-		c.spread(0, "member/x", 1, 5*time.Second)
+		c.timeToSpread(0, "member/x", 1, 5*time.Second)
 		var out []simnet.Traffic
 		for _, p := range c.peers {
 			out = append(out, c.net.Traffic(p.Node))
--- a/pkg/gossip/runner.go
+++ b/pkg/gossip/runner.go
@@ -7,10 +7,10 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// tickPeriod is the time between two ticks of a core; it bounds how much later than planned pushes are sent.
+// tickPeriod is the time between two ticks of a core. It bounds the delay of pushes after their due time.
 const tickPeriod = 100 * time.Millisecond
 
-// Sender sends messages without an answer; internal/transport satisfies it.
+// Sender sends one-way messages; internal/transport implements it.
 type Sender interface {
 	Send(addr string, env *pb.Envelope)
 }
@@ -21,10 +21,10 @@
 	sender Sender
 }
 
-// NewRunner returns a runner; Run starts it.
+// NewRunner returns a Runner; Run starts it.
 func NewRunner(core *Core, sender Sender) *Runner { return &Runner{core, sender} }
 
-// Run ticks until the context ends.
+// Run ticks the core until the context is done.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Set writes an item of this node; an urgent one is sent at once.
+// Set writes an item, see Core.Set; an urgent one is sent at once.
 func (r *Runner) Set(key string, value []byte, ttl time.Duration, urgent bool) {
 	now := time.Now()
 	r.Core.Set(now, key, value, ttl, urgent)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Receive handles a message from a peer and sends the answers.
+// Receive handles a message from a peer and sends the replies.
 func (r *Runner) Receive(from string, env *pb.Envelope) {
 	r.send(r.Core.Handle(time.Now(), from, env))
 }
--- a/pkg/gossip/spread.go
+++ b/pkg/gossip/spread.go
@@ -10,7 +10,7 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// Tick does what is due at now and returns the messages to send.
+// Tick runs the tasks that are due and returns the messages to send.
 func (c *Core) Tick(now time.Time) []Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,9 +27,9 @@
 		out = append(out, c.pullRecent(now)...)
 	}
 	if !c.cfg.NoPull && due(&c.nextDigest, now, digestPeriod) {
-		// A node that has just started has far fewer items than peers.
+		// A node with far fewer items than peers has just started.
 		if c.store.len() < len(c.peers)/2 {
-			c.hurry(now, bucketCount)
+			c.advanceDigest(now, bucketCount)
 		}
 		out = append(out, c.sendDigest(c.pick(nil))...)
 	}
@@ -39,7 +39,7 @@
 	return out
 }
 
-// due reports whether the time has come and sets the next one.
+// due reports whether now is not before next, and if so schedules the next time one period later.
 func due(next *time.Time, now time.Time, period time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -48,8 +48,8 @@
 	return true
 }
 
-// Handle takes a message from a peer and returns the messages to send. Kinds of other packages and unknown kinds
-// are ignored.
+// Handle processes a message from a peer and returns the messages to send. Messages of other packages and of unknown
+// kinds are ignored.
 func (c *Core) Handle(now time.Time, from string, env *pb.Envelope) []Message {
 	switch body := env.Body.(type) {
 	case *pb.Envelope_GossipPush:
@@ -80,7 +80,7 @@
 		}
 		added = append(added, item)
 		if r := c.rumors[item.Key]; push.Repair && r != nil {
-			c.passOnOnce(r)
+			c.demoteToBatch(r)
 		}
 	}
 	out := c.answerWant(now, from, push.Want)
@@ -91,25 +91,25 @@
 	return out
 }
 
-// passOnOnce makes a rumor wait for one batch. An urgent item that anti-entropy brings is old: pushing it at once
+// demoteToBatch makes a rumor wait for one batch. An urgent item delivered by anti-entropy is old: pushing it at once
 // to several peers would spend the budget on duplicates.
-func (c *Core) passOnOnce(r *rumor) {
-	was := r.urgent
-	r.urgent, r.left = false, 1
-	if was {
+func (c *Core) demoteToBatch(r *rumor) {
+	wasUrgent := r.urgent
+	r.urgent, r.remaining = false, 1
+	if wasUrgent {
 		c.enqueue(r)
 	}
 }
 
-// pushUrgent sends the urgent items that are due, grouped by peer. It takes no more items than the budget allows,
-// so that the work during a storm is bounded by the budget as well.
+// pushUrgent sends the urgent items that are due, grouped by peer. It takes no more items than the budget allows, so
+// that the budget also bounds the processing time during a burst.
 func (c *Core) pushUrgent(now time.Time) []Message {
 	if len(c.view) == 0 || len(c.urgent) == 0 || now.Before(c.nextUrgent) {
 		return nil
 	}
-	if c.scarce(now) {
+	if c.budgetShort(now) {
 		out := c.pushOldest(now)
-		c.finishUrgent(now)
+		c.rescheduleUrgent(now)
 		return out
 	}
 	groups := map[string][]*rumor{}
@@ -130,26 +130,26 @@
 	for _, p := range order {
 		out = append(out, c.pushTo(now, p, groups[p.Node])...)
 	}
-	c.finishUrgent(now)
+	c.rescheduleUrgent(now)
 	return out
 }
 
-// scarce reports whether the budget does not suffice for the urgent pushes that are due.
-func (c *Core) scarce(now time.Time) bool {
-	need := 0.0
+// budgetShort reports whether the urgent pushes that are due cost more than the budget holds.
+func (c *Core) budgetShort(now time.Time) bool {
+	needed := 0.0
 	for _, key := range c.urgent {
 		if r := c.rumors[key]; r != nil && r.urgent && !now.Before(r.due) {
-			need += float64(r.left * (c.sizeOf(key) + MessageOverhead))
+			needed += float64(r.remaining * (c.itemSize(key) + MessageOverhead))
 		}
-		if need > c.tokens {
+		if needed > c.tokens {
 			return true
 		}
 	}
 	return false
 }
 
-// pushOldest waits until the budget allows a full message and sends the oldest urgent items to one peer. While
-// the budget is short, small messages to several peers would spend most of it on overhead.
+// pushOldest sends the oldest urgent items to one peer, once the budget allows a full message. While the budget is
+// short, small messages to several peers would spend most of it on overhead.
 func (c *Core) pushOldest(now time.Time) []Message {
 	p := c.pick(nil)
 	if p.Node == "" || c.tokens < maxMessage+MessageOverhead {
@@ -163,14 +163,14 @@
 			continue
 		}
 		oldest = append(oldest, r)
-		if size += float64(c.sizeOf(key)); size > c.tokens {
+		if size += float64(c.itemSize(key)); size > c.tokens {
 			break
 		}
 	}
 	return c.pushTo(now, p, oldest)
 }
 
-func (c *Core) sizeOf(key string) int {
+func (c *Core) itemSize(key string) int {
 	e, ok := c.store.entry(key)
 	if !ok {
 		return 0
@@ -178,13 +178,12 @@
 	return proto.Size(e.item)
 }
 
-// targets picks the peers for the pushes that are left. The first pushes of one item go to peers in random
-// order; one of the view's peers in the other region counts like any other, which bounds cross-region pushes to
-// their share of the view.
+// targets picks random peers of the view for the remaining pushes of a rumor. Peers in other regions are chosen like
+// any other, so cross-region pushes are bounded by their share of the view.
 func (c *Core) targets(r *rumor) []Peer {
 	var out []Peer
-	for range r.left {
-		p := c.pick(append(slices.Clone(r.known), nodesOf(out)...))
+	for range r.remaining {
+		p := c.pick(append(slices.Clone(r.known), nodeNames(out)...))
 		if p.Node == "" {
 			break
 		}
@@ -193,7 +192,7 @@
 	return out
 }
 
-func nodesOf(peers []Peer) []string {
+func nodeNames(peers []Peer) []string {
 	out := make([]string, len(peers))
 	for i, p := range peers {
 		out[i] = p.Node
@@ -201,22 +200,22 @@
 	return out
 }
 
-// pushTo sends items to one peer in messages of bounded size, as far as the budget goes.
+// pushTo sends items to one peer, in messages of bounded size, until the budget is spent.
 func (c *Core) pushTo(now time.Time, p Peer, rumors []*rumor) []Message {
-	reserve := batchReserve
+	reserve := urgentReserve
 	if len(rumors) > 0 && rumors[0].urgent {
 		reserve = 0
 	}
 	var out []Message
 	for len(rumors) > 0 {
 		push := &pb.GossipPush{}
-		size, taken := 0, 0
+		size, count := 0, 0
 		for _, r := range rumors {
-			item := c.itemOf(now, r)
+			item := c.itemToSend(now, r)
 			if item != nil && len(push.Items) > 0 && size+proto.Size(item) > maxMessage {
 				break
 			}
-			taken++
+			count++
 			if item != nil {
 				push.Items = append(push.Items, item)
 				size += proto.Size(item)
@@ -226,29 +225,29 @@
 		if len(push.Items) > 0 && !c.spend(m.Env, reserve) {
 			return out
 		}
-		for _, r := range rumors[:taken] {
-			r.left--
+		for _, r := range rumors[:count] {
+			r.remaining--
 			r.known = append(r.known, p.Node)
 		}
 		if len(push.Items) > 0 {
 			out = append(out, m)
 		}
-		rumors = rumors[taken:]
+		rumors = rumors[count:]
 	}
 	return out
 }
 
-func (c *Core) itemOf(now time.Time, r *rumor) *pb.GossipItem {
+func (c *Core) itemToSend(now time.Time, r *rumor) *pb.GossipItem {
 	e, ok := c.store.entry(r.key)
 	if !ok {
 		return nil
 	}
-	return e.toSend(now)
+	return e.withRemainingTTL(now)
 }
 
-// finishUrgent schedules the extra push of items whose first pushes are done and drops finished items. An item
-// for which the budget or the peers did not suffice is tried again.
-func (c *Core) finishUrgent(now time.Time) {
+// rescheduleUrgent schedules the extra push of items whose first pushes are done, and drops finished items. An item
+// that has pushes left, for lack of budget or peers, is tried again.
+func (c *Core) rescheduleUrgent(now time.Time) {
 	c.nextUrgent = now.Add(time.Hour)
 	c.urgent = slices.DeleteFunc(c.urgent, func(key string) bool {
 		r := c.rumors[key]
@@ -256,7 +255,7 @@
 			return true
 		}
 		if !now.Before(r.due) {
-			if !c.advance(now, r) {
+			if !c.scheduleNextPush(now, r) {
 				delete(c.rumors, key)
 				return true
 			}
@@ -266,24 +265,24 @@
 	})
 }
 
-// advance prepares the next push of an urgent item that was due; it returns false when there is none.
-func (c *Core) advance(now time.Time, r *rumor) bool {
+// scheduleNextPush schedules the next push of an urgent item that was due; it returns false when there is none.
+func (c *Core) scheduleNextPush(now time.Time, r *rumor) bool {
 	switch {
-	case r.left > 0 && len(c.view) > 0 && !c.allKnown(r):
+	case r.remaining > 0 && len(c.view) > 0 && !c.knownByView(r):
 		return true
-	case !r.extra && c.cfg.ExtraDelay > 0:
-		r.extra, r.left, r.due = true, 1, now.Add(c.cfg.ExtraDelay)
+	case !r.extraScheduled && c.cfg.ExtraDelay > 0:
+		r.extraScheduled, r.remaining, r.due = true, 1, now.Add(c.cfg.ExtraDelay)
 		return true
 	}
 	return false
 }
 
-// allKnown reports whether every peer of the view has the item.
-func (c *Core) allKnown(r *rumor) bool {
+// knownByView reports whether every peer of the view is known to have the item.
+func (c *Core) knownByView(r *rumor) bool {
 	return !slices.ContainsFunc(c.view, func(p Peer) bool { return !slices.Contains(r.known, p.Node) })
 }
 
-// pushBatch sends the waiting items that are not urgent to one peer.
+// pushBatch sends the waiting items that are not urgent to one random peer.
 func (c *Core) pushBatch(now time.Time) []Message {
 	p := c.pick(nil)
 	if p.Node == "" || len(c.batch) == 0 {
@@ -297,7 +296,7 @@
 		}
 		if r := c.rumors[key]; r != nil && !r.urgent && !slices.Contains(r.known, p.Node) {
 			waiting = append(waiting, r)
-			size += float64(c.sizeOf(key))
+			size += float64(c.itemSize(key))
 		}
 	}
 	out := c.pushTo(now, p, waiting)
@@ -306,7 +305,7 @@
 		if r == nil || r.urgent {
 			return true
 		}
-		if r.left > 0 && !c.allKnown(r) {
+		if r.remaining > 0 && !c.knownByView(r) {
 			return false
 		}
 		delete(c.rumors, key)
@@ -315,21 +314,21 @@
 	return out
 }
 
-// recent returns the hashes of the urgent items of the last seconds.
-func (c *Core) recent(now time.Time) map[uint32]entry {
+// recentUrgent returns the urgent items stored within recentAge, by the low 32 bits of their version hash.
+func (c *Core) recentUrgent(now time.Time) map[uint32]entry {
 	out := map[uint32]entry{}
-	c.store.recent(now.Add(-recentAge), func(e entry) { out[uint32(e.hash)] = e })
+	c.store.eachRecentUrgent(now.Add(-recentAge), func(e entry) { out[uint32(e.hash)] = e })
 	return out
 }
 
-// pullRecent names the recent urgent items to one peer, which answers with those missing here. With more than
-// maxRecent there is a storm, and digests do the repair.
+// pullRecent lists the recent urgent items to one peer, which sends those missing here. When there are more than
+// maxRecent, repair is left to the digests.
 func (c *Core) pullRecent(now time.Time) []Message {
-	have := c.recent(now)
-	if len(have) > maxRecent {
+	recent := c.recentUrgent(now)
+	if len(recent) > maxRecent {
 		return nil
 	}
-	versions := slices.Sorted(maps.Keys(have))
+	versions := slices.Sorted(maps.Keys(recent))
 	p, env := c.pick(nil), digestEnvelope(&pb.GossipDigest{Versions: versions})
 	if p.Node == "" || !c.spend(env, 0) {
 		return nil
@@ -341,7 +340,7 @@
 	return &pb.Envelope{Body: &pb.Envelope_GossipDigest{GossipDigest: digest}}
 }
 
-// sendRepair sends one message within the budget for repair.
+// sendRepair sends one message to a peer if the budget for repair allows it.
 func (c *Core) sendRepair(p Peer, env *pb.Envelope) []Message {
 	if p.Node == "" || !c.spendRepair(env) {
 		return nil
@@ -349,17 +348,17 @@
 	return []Message{{p, env}}
 }
 
-// answerRecent sends the recent urgent items that the peer did not name.
+// answerRecent sends the recent urgent items that the peer did not list.
 func (c *Core) answerRecent(now time.Time, from string, versions []uint32) []Message {
-	missing := c.recent(now)
+	missing := c.recentUrgent(now)
 	for _, version := range versions {
 		delete(missing, version)
 	}
 	return c.sendEntries(now, from, slices.Collect(maps.Values(missing)), false)
 }
 
-// sendDigest sends the hashes of all buckets to a peer. It spends only from the part set aside for repair: when
-// many nodes start together, frequent digests would otherwise keep the items themselves from being sent.
+// sendDigest sends the hashes of all buckets to a peer. It spends only the budget reserved for repair: when many nodes
+// start together, frequent digests would otherwise use up the budget for the items themselves.
 func (c *Core) sendDigest(p Peer) []Message {
 	env := digestEnvelope(&pb.GossipDigest{Buckets: c.store.buckets()})
 	if c.repairTokens < float64(cost(env)) {
@@ -368,8 +367,8 @@
 	return c.sendRepair(p, env)
 }
 
-// answerDigest lists the versions in the buckets that differ, from a random bucket on, so that a node that has
-// just started learns different parts from several peers.
+// answerDigest lists the versions in the buckets that differ, up to maxListed. It starts from a random bucket, so that
+// a node that has just started gets different parts from several peers.
 func (c *Core) answerDigest(now time.Time, from string, theirs []uint64) []Message {
 	if len(theirs) != bucketCount {
 		return nil
@@ -392,12 +391,12 @@
 	if differ == 0 {
 		return nil
 	}
-	c.hurry(now, differ)
+	c.advanceDigest(now, differ)
 	return c.sendRepair(c.byNode[from], digestEnvelope(digest))
 }
 
-// hurry brings the next digest forward while many buckets differ.
-func (c *Core) hurry(now time.Time, differ int) {
+// advanceDigest brings the next digest forward when more than a quarter of the buckets differ.
+func (c *Core) advanceDigest(now time.Time, differ int) {
 	if differ > bucketCount/4 {
 		c.nextDigest = minTime(c.nextDigest, now.Add(catchUpPeriod))
 	}
@@ -410,33 +409,33 @@
 	return a
 }
 
-// answerList sends the items that the peer lacks in the buckets listed and asks for those missing here.
+// answerList sends the items of the listed buckets that the peer lacks, and requests those missing here.
 func (c *Core) answerList(now time.Time, from string, digest *pb.GossipDigest) []Message {
-	want := make(map[uint32]bool, len(digest.Versions))
+	peerHas := make(map[uint32]bool, len(digest.Versions))
 	for _, version := range digest.Versions {
-		want[version] = true
+		peerHas[version] = true
 	}
-	var lacking []entry
+	var peerLacks []entry
 	for _, n := range digest.Listed[:min(len(digest.Listed), bucketCount)] {
 		for _, e := range c.store.bucket(int(n % bucketCount)) {
-			if !want[uint32(e.hash)] {
-				lacking = append(lacking, e)
+			if !peerHas[uint32(e.hash)] {
+				peerLacks = append(peerLacks, e)
 			}
-			delete(want, uint32(e.hash))
+			delete(peerHas, uint32(e.hash))
 		}
 	}
-	c.hurry(now, len(digest.Listed))
+	c.advanceDigest(now, len(digest.Listed))
 	var out []Message
-	if len(want) > 0 {
+	if len(peerHas) > 0 {
 		c.nextDigest = minTime(c.nextDigest, now.Add(catchUpPeriod))
-		versions := slices.Sorted(maps.Keys(want))
+		versions := slices.Sorted(maps.Keys(peerHas))
 		push := &pb.GossipPush{Want: versions[:min(len(versions), maxListed)]}
 		out = c.sendRepair(c.byNode[from], &pb.Envelope{Body: &pb.Envelope_GossipPush{GossipPush: push}})
 	}
-	return append(out, c.sendEntries(now, from, lacking, true)...)
+	return append(out, c.sendEntries(now, from, peerLacks, true)...)
 }
 
-// answerWant sends the items that a peer asked for by version.
+// answerWant sends the items that a peer requested by version.
 func (c *Core) answerWant(now time.Time, from string, versions []uint32) []Message {
 	if len(versions) == 0 {
 		return nil
@@ -448,8 +447,8 @@
 	return c.sendEntries(now, from, c.store.withVersions(wanted), true)
 }
 
-// sendEntries sends items to one peer in a random order, as far as the budget goes: when it is short, several
-// peers then bring different items.
+// sendEntries sends items to one peer, in random order, until the budget is spent. With random order, several peers
+// that are short of budget send different items.
 func (c *Core) sendEntries(now time.Time, to string, entries []entry, repair bool) []Message {
 	p, ok := c.byNode[to]
 	if !ok || len(entries) == 0 {
@@ -467,7 +466,7 @@
 		return len(sent) > 0
 	}
 	for _, e := range entries {
-		item := e.toSend(now)
+		item := e.withRemainingTTL(now)
 		if item == nil {
 			continue
 		}
--- a/pkg/gossip/store.go
+++ b/pkg/gossip/store.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// shardCount is the number of item maps with a lock of their own.
+	// shardCount is the number of item maps; each has its own lock.
 	shardCount = 16
 	// bucketCount is the number of hashes in a digest.
 	bucketCount = 64
-	// shortLived is the TTL up to which items are left out of digests: they are replaced before a digest could
-	// repair them, and their changes would make every digest differ.
-	shortLived = 30 * time.Second
+	// shortLivedTTL is the TTL up to which items are left out of digests. They are replaced before a digest could repair
+	// them, and their changes would make every digest differ.
+	shortLivedTTL = 30 * time.Second
 )
 
-// entry is an item with the time after which it is dropped.
+// entry is a stored item.
 type entry struct {
 	item    *pb.GossipItem
 	expires time.Time // zero means never
 	stored  time.Time
-	hash    uint64
-	bucket  int
+	hash    uint64 // versionHash of the item
+	bucket  int    // index into the digest
 }
 
 type shard struct {
@@ -36,7 +36,7 @@
 	items map[string]entry
 }
 
-// store keeps items in shards by the hash of their key. A bucket of the digest lies within one shard.
+// store keeps items in shards by the hash of their key. All items of a digest bucket are in the same shard.
 type store struct {
 	shards [shardCount]shard
 }
@@ -62,7 +62,7 @@
 	return xxhash.Sum64(buffer)
 }
 
-// put stores the item when it is newer than the one stored.
+// put stores the item and returns true, unless a version at least as new is stored or the shard is full.
 func (s *store) put(now time.Time, item *pb.GossipItem) bool {
 	sh := s.shard(item.Key)
 	sh.mu.Lock()
@@ -131,7 +131,7 @@
 	return n
 }
 
-// expire drops items whose time is over.
+// expire removes expired items.
 func (s *store) expire(now time.Time) {
 	for i := range s.shards {
 		sh := &s.shards[i]
@@ -145,7 +145,7 @@
 	}
 }
 
-// versions returns the hashes of the versions in one bucket.
+// versions returns the low 32 bits of the version hashes in one bucket.
 func (s *store) versions(n int) []uint32 {
 	var out []uint32
 	for _, e := range s.bucket(n) {
@@ -154,7 +154,7 @@
 	return out
 }
 
-// withVersions returns the entries with the hashes.
+// withVersions returns the entries whose version hash, in its low 32 bits, is wanted.
 func (s *store) withVersions(wanted map[uint32]bool) []entry {
 	var out []entry
 	for i := range s.shards {
@@ -170,8 +170,8 @@
 	return out
 }
 
-// recent calls fn for each urgent item stored after since.
-func (s *store) recent(since time.Time, fn func(entry)) {
+// eachRecentUrgent calls fn for each urgent item stored after since.
+func (s *store) eachRecentUrgent(since time.Time, fn func(entry)) {
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.RLock()
@@ -186,10 +186,10 @@
 
 // inDigest reports whether digests cover the item.
 func (e entry) inDigest() bool {
-	return e.item.TtlMs == 0 || time.Duration(e.item.TtlMs)*time.Millisecond > shortLived
+	return e.item.TtlMs == 0 || time.Duration(e.item.TtlMs)*time.Millisecond > shortLivedTTL
 }
 
-// buckets returns the digest: per bucket the XOR of the version hashes, which needs no order.
+// buckets returns the digest: per bucket the XOR of the version hashes, which does not depend on their order.
 func (s *store) buckets() []uint64 {
 	out := make([]uint64, bucketCount)
 	for i := range s.shards {
@@ -220,13 +220,13 @@
 	return out
 }
 
-// sortEntries orders entries by key, because the order of a map differs between runs.
+// sortEntries orders entries by key, because the iteration order of a map differs between runs.
 func sortEntries(entries []entry) {
 	slices.SortFunc(entries, func(a, b entry) int { return strings.Compare(a.item.Key, b.item.Key) })
 }
 
-// toSend returns a copy of the item with the remaining TTL; nil when it has expired.
-func (e entry) toSend(now time.Time) *pb.GossipItem {
+// withRemainingTTL returns a copy of the item with the remaining TTL, or nil when it has expired.
+func (e entry) withRemainingTTL(now time.Time) *pb.GossipItem {
 	out := &pb.GossipItem{Key: e.item.Key, Incarnation: e.item.Incarnation, Sequence: e.item.Sequence,
 		Value: e.item.Value, Urgent: e.item.Urgent}
 	if e.expires.IsZero() {
--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// pick returns a random peer of the view that is not excluded; an empty Peer when there is none.
+// pick returns a random peer of the view whose node is not excluded, or an empty Peer when there is none.
 func (c *Core) pick(excluded []string) Peer { return c.pickFrom(c.view, excluded) }
 
 func (c *Core) pickFrom(peers []Peer, excluded []string) Peer {
@@ -20,16 +20,16 @@
 	return chosen
 }
 
-// fillView adds random peers until both parts of the view have their size.
+// fillView adds random peers until the view has ownRegionView peers of the local region and otherRegionView of others.
 func (c *Core) fillView() {
 	for _, part := range []struct {
 		own  bool
 		size int
 	}{{true, ownRegionView}, {false, otherRegionView}} {
-		have := 0
+		count := 0
 		for _, p := range c.view {
 			if (p.Region == c.cfg.Region) == part.own {
-				have++
+				count++
 			}
 		}
 		var candidates []Peer
@@ -38,19 +38,19 @@
 				candidates = append(candidates, p)
 			}
 		}
-		for have < part.size {
-			p := c.pickFrom(candidates, nodesOf(c.view))
+		for count < part.size {
+			p := c.pickFrom(candidates, nodeNames(c.view))
 			if p.Node == "" {
 				break
 			}
 			c.view = append(c.view, p)
-			have++
+			count++
 		}
 	}
 }
 
-// rotateView replaces the oldest peer of the view. The oldest one goes first so that each stays for the same
-// time, and it may only be chosen again later.
+// rotateView replaces the oldest peer of the view, so that all peers stay in it for the same time. The replaced peer
+// is not chosen again at once unless no other is left.
 func (c *Core) rotateView() {
 	if len(c.peers) > len(c.view) && len(c.view) > 0 {
 		oldest := c.view[0]
@@ -61,10 +61,10 @@
 	c.fillView()
 }
 
-// fillViewWithout fills the view from all peers but one, which comes back only when no other is left.
-func (c *Core) fillViewWithout(left Peer) {
+// fillViewWithout fills the view from all peers but one, which is taken only when no other is left.
+func (c *Core) fillViewWithout(removed Peer) {
 	all := c.peers
-	c.peers = slices.DeleteFunc(slices.Clone(all), func(p Peer) bool { return p.Node == left.Node })
+	c.peers = slices.DeleteFunc(slices.Clone(all), func(p Peer) bool { return p.Node == removed.Node })
 	c.fillView()
 	c.peers = all
 	c.fillView()
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -413,7 +413,7 @@
 	r.Status, r.Load = state.Status, state.Load
 	if !r.suspected.IsZero() || r.dead {
 		// A node that is back must not wait for batches; it cannot know that others consider it dead.
-		c.g.Hasten(now, keyPrefix+node)
+		c.g.MarkUrgent(now, keyPrefix+node)
 	}
 	r.suspected, r.dead = time.Time{}, false
 }
