--- a/pkg/membership/list.go
+++ b/pkg/membership/list.go
@@ -9,34 +9,34 @@
 
 const (
 	// listReaders is the number of nodes that read the instance list every listPeriod; the others read it every
-	// listSlowPeriod. Together they stay far below the platform's read limit.
+	// listSlowPeriod. Together they stay far below the platform's rate limit for reads.
 	listReaders    = 3
 	listPeriod     = 10 * time.Second
 	listSlowPeriod = time.Minute
-	// listRetry is the time between two attempts of a node that knows no other node.
-	listRetry = 2 * time.Second
+	// listRetryPeriod is the time between two reads by a node that knows no other live node.
+	listRetryPeriod = 2 * time.Second
 )
 
-// ListDue reports whether the instance list should be read now; a true answer counts as an attempt.
+// ListDue reports whether the instance list should be read now. When it returns true, it counts this as a read.
 func (c *Core) ListDue(now time.Time) bool {
 	live := c.Live()
 	period := listSlowPeriod
 	switch {
 	case len(live) <= 1:
-		period = listRetry
-	case chosen(Rendezvous("instance-list", live, listReaders), c.cfg.Node):
+		period = listRetryPeriod
+	case containsNode(Rendezvous("instance-list", live, listReaders), c.cfg.Node):
 		period = listPeriod
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.listTried.IsZero() && now.Sub(c.listTried) < period {
+	if !c.lastListAttempt.IsZero() && now.Sub(c.lastListAttempt) < period {
 		return false
 	}
-	c.listTried = now
+	c.lastListAttempt = now
 	return true
 }
 
-func chosen(members []Member, node string) bool {
+func containsNode(members []Member, node string) bool {
 	for _, m := range members {
 		if m.Node == node {
 			return true
@@ -45,45 +45,45 @@
 	return false
 }
 
-// HandleInstances takes the instance list. Nodes not known by gossip become peers that are probed like others. A
-// listed node that is leaving gets no new work. A suspected node that is missing for listGone is dead: so the
-// members of a region that is lost for good do not stay suspected.
+// HandleInstances applies the instance list. Nodes not known by gossip become members, which are probed like others. A
+// node listed as leaving gets no new work. A suspected node that has been missing from the list for
+// listAbsenceTimeout is considered dead, so that the members of a region that is lost for good do not stay suspected.
 func (c *Core) HandleInstances(now time.Time, instances []platform.Instance) {
 	c.mu.Lock()
-	first := c.listRead.IsZero()
-	c.listRead = now
+	first := c.lastListRead.IsZero()
+	c.lastListRead = now
 	for _, i := range instances {
 		if i.Kind != platform.EntryNode || i.NodeAddr == "" || i.ID == c.cfg.Node || i.State == platform.Starting {
 			continue
 		}
-		c.listed(now, i)
+		c.applyInstance(now, i)
 	}
 	for _, r := range c.records {
-		if r.listed.IsZero() || first {
+		if r.listedAt.IsZero() || first {
 			continue
 		}
-		if !r.dead && now.Sub(r.listed) >= listGone && c.statusOf(r) == pb.MemberState_SUSPECT {
-			r.dead, c.dirty = true, true
+		if !r.dead && now.Sub(r.listedAt) >= listAbsenceTimeout && c.statusOf(r) == pb.MemberState_SUSPECT {
+			r.dead, c.changed = true, true
 		}
 	}
-	c.finish()
+	c.unlockAndNotify()
 }
 
-// listed records one instance of the list.
-func (c *Core) listed(now time.Time, i platform.Instance) {
+// applyInstance applies one instance of the list.
+func (c *Core) applyInstance(now time.Time, i platform.Instance) {
 	r := c.records[i.ID]
 	if r == nil {
 		r = &record{Member: Member{Node: i.ID, Region: i.Region, FailureDomain: i.FailureDomain, NodeAddr: i.NodeAddr,
 			CallerAddr: i.Addr, Status: pb.MemberState_ALIVE}, expires: now.Add(itemTTL)}
 		c.records[i.ID] = r
-		c.dirty = true
+		c.changed = true
 	}
-	r.listed = now
+	r.listedAt = now
 	if r.NodeAddr == "" {
 		r.Region, r.FailureDomain, r.NodeAddr, r.CallerAddr = i.Region, i.FailureDomain, i.NodeAddr, i.Addr
-		c.dirty = true
+		c.changed = true
 	}
-	if leaving := i.State == platform.Leaving; leaving && !r.listLeaving {
-		r.listLeaving, c.dirty = true, true
+	if leaving := i.State == platform.Leaving; leaving && !r.listedLeaving {
+		r.listedLeaving, c.changed = true, true
 	}
 }
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,21 +1,23 @@
-// Package membership keeps the view of the live entry nodes.
+// Package membership maintains each node's view of the live entry nodes, with a failure detector in the manner of
+// SWIM.
 //
-// Each node probes one peer of its region per second, mostly from the view of gossip, whose connections are open,
-// and sometimes any node, so that each is probed whatever the views are. After a miss it asks two peers in other
-// failure domains to probe. Only when one of them answers that it cannot reach the node either is the node
-// suspected: a fault of the prober's own links or domain harms nobody else. The suspicion is an urgent gossip item
-// under the member's own key, with a version just above the one known. A live node refutes it with a higher
-// incarnation; without refutation every node considers it dead deadAfter later on its own clock, which needs no
-// further message, even when a whole failure domain is lost.
+// Each node probes one peer of its region per second: mostly one of the gossip view, whose connections are open, and
+// sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober asks two
+// peers in other failure domains to probe the target (indirect probes). Only when one of them answers that it cannot
+// reach the target either is the target suspected, so that a fault of the prober's own links or failure domain does
+// not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
+// above the known one. A live node refutes it with a higher incarnation. Without a refutation every node considers it
+// dead after deadAfter on its own clock, which takes no further message, even when a whole failure domain is lost.
 //
-// Nodes are suspected by their own region only. One more probe per second goes to another region; when all of
-// them fail for regionTimeout, its members count as suspected here (no new work is sent there) and never as dead,
-// because the other region cannot refute. Gossip keeps them as peers, so that contact is found again.
+// Nodes are suspected only by nodes of their own region. One more probe per second goes to another region; when all
+// probes of a region fail for regionTimeout, its members count as suspected on this node (they get no new work) and
+// never as dead, because they could not refute. Gossip keeps them as peers, so that contact is restored after a
+// network partition.
 //
-// A node whose own probes mostly fail suspects itself and nobody else.
+// A node whose own probes mostly fail suspects itself and no other node.
 //
-// The instance list of the platform is used to find the first peers and nodes that lost contact with all others.
-// It may be unavailable for hours: it is never needed to keep the view current.
+// The platform's instance list is used to find the first peers, and nodes that lost contact with all others. It may
+// be unavailable for hours: it is not needed to keep the view current.
 //
 // Core is deterministic like gossip.Core; Runner connects it to clock, transport and instance list.
 package membership
@@ -37,93 +39,98 @@
 const (
 	// keyPrefix precedes the node's name in the key of its item.
 	keyPrefix = "member/"
-	// probePeriod is the time between two probes of the own region, and between two of other regions.
+	// probePeriod is the time between two probes in the local region, and between two in other regions.
 	probePeriod = time.Second
-	// probeTimeout covers a handshake and a probe between regions.
+	// probeTimeout is long enough for a handshake and a probe between regions.
 	probeTimeout = 500 * time.Millisecond
-	// relayTimeout is how long a peer waits for the node that it probes for another; indirectTimeout is how long
-	// that other waits for the peer.
-	relayTimeout    = 400 * time.Millisecond
-	indirectTimeout = 800 * time.Millisecond
-	// indirectPeers is the number of peers asked after a miss.
-	indirectPeers = 2
-	// anyNodeEvery makes one of so many probes go to any node instead of one of the view; each costs a handshake.
+	// requestedProbeTimeout is the timeout of an indirect probe at the peer that sends it; indirectTimeout is the time
+	// that the requester waits for the peer's result.
+	requestedProbeTimeout = 400 * time.Millisecond
+	indirectTimeout       = 800 * time.Millisecond
+	// indirectProbers is the number of peers asked for an indirect probe after a probe timed out.
+	indirectProbers = 2
+	// anyNodeEvery is the average number of probes of which one goes to any node instead of one of the gossip view;
+	// such a probe costs a handshake.
 	anyNodeEvery = 20
-	// alarmTime is how long after a suspicion half of the probes go to other nodes of the same failure domain, so
-	// that the loss of a domain is found without waiting for each node to be in someone's view.
-	alarmTime = 10 * time.Second
-	// deadAfter is how long a suspected node has to refute.
+	// domainSuspicionTime is the time after a suspicion during which half of the probes go to nodes of the same failure
+	// domain, so that the loss of a domain is detected before each of its nodes happens to be in some node's view.
+	domainSuspicionTime = 10 * time.Second
+	// deadAfter is the time that a suspected node has to refute the suspicion.
 	deadAfter = 3 * time.Second
-	// regionTimeout is how long all probes of a region must fail until it counts as out of touch.
+	// regionTimeout is the time for which all probes of a region must fail until the region counts as unreachable.
 	regionTimeout = 5 * time.Second
-	// selfWindow and selfProbes define self-suspicion: of the last selfWindow own probes, at least selfProbes
-	// failed, without the help of others. A lost failure domain fails a quarter to a third of them.
-	selfWindow = 8
-	selfProbes = 6
-	// itemTTL is how long a member is known without a sign of life; refreshPeriod is the most time between two
-	// renewals of the own item, of which three may get lost. Each node picks a random part of its second half, so
-	// that nodes started together do not renew together.
-	// Probes find dead nodes, so renewals may be rare: with 75 to 150 s between them, a node of 200 sent 1.9 KB/s
-	// instead of 1.2 (TestMeasureSlopes).
+	// selfSuspicionWindow and selfSuspicionFailures define self-suspicion: of the node's last selfSuspicionWindow
+	// direct probes, at least selfSuspicionFailures failed. The loss of a failure domain fails only a quarter to a
+	// third of them.
+	selfSuspicionWindow   = 8
+	selfSuspicionFailures = 6
+	// itemTTL is the time after which a member without a new item is removed; refreshPeriod is the longest time
+	// between two renewals of a node's own item, of which three may get lost. Each node waits for half of it plus a
+	// random part of the other half, so that nodes started together do not renew together.
+	// Probes detect dead nodes, so renewals may be rare: with 75 to 150 s between them, each of 200 nodes sent 1.9 KB/s
+	// instead of 1.2 KB/s (TestMeasureSlopes).
 	itemTTL       = 30 * time.Minute
 	refreshPeriod = 9 * time.Minute
-	// loadPeriod is the least time between two items that only report load: 400 nodes share the gossip budget.
+	// loadPeriod is the least time between two items that only report load, because the items of up to 400 nodes
+	// share the gossip budget.
 	loadPeriod = 10 * time.Second
-	// accusePeriod is the time between two reminders to a node considered dead, which lets it refute when it is
-	// alive, as after a partition.
-	accusePeriod = 5 * time.Second
-	// listGone is how long a node must be missing from the instance list before a suspected one counts as dead.
-	listGone = time.Minute
-	// maxRelays bounds the probes in progress for others.
-	maxRelays = 256
+	// deadNoticePeriod is the time between two messages that tell a node considered dead of the suspicion, so that it
+	// can refute when it is alive, as after a network partition.
+	deadNoticePeriod = 5 * time.Second
+	// listAbsenceTimeout is the time for which a suspected node must be missing from the instance list to be considered
+	// dead.
+	listAbsenceTimeout = time.Minute
+	// maxProbesInProgress is the number of probes in progress from which on requests for indirect probes are ignored.
+	maxProbesInProgress = 256
 )
 
-// Member is one node of the view.
+// Member describes one node of the view.
 type Member struct {
 	Node, Region, FailureDomain string
 	NodeAddr, CallerAddr        string
 	Status                      pb.MemberState_Status
-	// Load is the node's quantized number of open requests.
+	// Load is the node's number of open requests, rounded up to a power of two.
 	Load uint32
-	// Incarnation rises when the node restarts or refutes a suspicion.
+	// Incarnation increases when the node restarts or refutes a suspicion.
 	Incarnation uint64
 }
 
-// Config describes the own node.
+// Config describes the local node.
 type Config struct {
 	Node, Region, FailureDomain, NodeAddr, CallerAddr string
-	// Incarnation is the start time in milliseconds, so that it rises with each restart.
+	// Incarnation is the start time in milliseconds, so that it increases with each restart.
 	Incarnation uint64
 	Rand        *rand.Rand
 }
 
-// record is what is known of one node.
+// record holds the state of one remote node.
 type record struct {
 	Member
 	sequence uint64
-	// suspected is when the suspicion arrived; zero without one.
-	suspected time.Time
-	dead      bool
-	// listed is when the instance list showed the node last, listLeaving whether as leaving.
-	listed      time.Time
-	listLeaving bool
-	// expires is when a node without a sign of life is forgotten.
+	// suspectedAt is the time at which the suspicion arrived, or zero.
+	suspectedAt time.Time
+	dead        bool
+	// listedAt is the time at which the node was last in the instance list; listedLeaving is set when it was listed as
+	// leaving.
+	listedAt      time.Time
+	listedLeaving bool
+	// expires is the time at which the node is removed unless a newer item arrives.
 	expires time.Time
 }
 
 // probe is a probe in progress.
 type probe struct {
-	target   string
-	sent     time.Time
-	indirect time.Time // when the indirect probes were sent; zero before
-	// alarmed marks a probe of a failure domain with a suspicion. It does not count for self-suspicion, because
-	// many of them fail when a domain is lost.
-	alarmed bool
-	// asked are the peers of the indirect probes.
+	target       string
+	sent         time.Time
+	indirectSent time.Time // when the indirect probes were requested; zero before
+	// domainSuspected marks a probe sent because of a suspicion in the target's failure domain. It does not count for
+	// self-suspicion, because many such probes fail when a domain is lost.
+	domainSuspected bool
+	// asked lists the peers that were asked for an indirect probe.
 	asked []string
-	// origin and number identify the request of another node that this probe serves.
-	origin string
-	number uint64
+	// requester and requestNumber identify the request of another node for which this indirect probe is sent.
+	requester     string
+	requestNumber uint64
 }
 
 // Core is the deterministic part of membership. Its methods may be called from several goroutines.
@@ -134,69 +141,69 @@
 	inboxMu sync.Mutex
 	inbox   []*pb.GossipItem
 
-	mu          sync.Mutex
-	records     map[string]*record
-	incarnation uint64
-	status      pb.MemberState_Status
-	load        uint32
-	published   time.Time
-	// refreshAfter is the time from published to the next renewal.
+	mu            sync.Mutex
+	records       map[string]*record
+	incarnation   uint64
+	status        pb.MemberState_Status
+	load          uint32
+	lastPublished time.Time // when the local node's item was last written
+	// refreshAfter is the time from lastPublished to the next renewal.
 	refreshAfter time.Duration
 	publishDue   bool
 	urgent       bool
 	probes       map[uint64]*probe
 	nextNumber   uint64
 	nextProbe, nextRegion,
-	nextAccuse time.Time
-	results    []bool // of own probes, newest last
-	regionSeen map[string]time.Time
-	regionLost map[string]bool
-	// alarms has the time of the last suspicion in each failure domain.
-	alarms map[string]time.Time
-	// regionMissed is set after a failed probe of another region; the next one goes to any node, because the few
-	// of the view may all be gone.
-	regionMissed bool
-	listRead     time.Time
-	listTried    time.Time
-	dirty        bool
-	hadPeers     bool
-	watches      []func([]Member)
+	nextDeadNotice time.Time
+	probeResults      []bool // of this node's direct probes in its region, newest last
+	regionContact     map[string]time.Time
+	regionUnreachable map[string]bool
+	// domainSuspicions has the time of the last suspicion in each failure domain.
+	domainSuspicions map[string]time.Time
+	// regionProbeFailed is set after a failed probe of another region. The next one then goes to any node, because the
+	// few nodes of the gossip view may all be gone.
+	regionProbeFailed bool
+	lastListRead      time.Time
+	lastListAttempt   time.Time
+	changed           bool // the snapshots are out of date
+	hadPeers          bool
+	watches           []func([]Member)
 
 	snapshot atomic.Pointer[[]Member]
 	live     atomic.Pointer[[]Member]
 }
 
-// NewCore returns a core whose own node is alive; the first Tick announces it, not urgently: hundreds of nodes may
-// start together, and leaves must not wait behind them. The gossip core must be the own
-// node's and receives its peers from this core.
+// NewCore returns a Core whose local node is alive. The first Tick announces the node, but not urgently: hundreds of
+// nodes may start together, and announcements of leaving nodes must not queue behind them. g is the local node's
+// gossip core; it gets its peers from this Core.
 func NewCore(cfg Config, g *gossip.Core) *Core {
 	c := &Core{cfg: cfg, g: g, records: map[string]*record{}, incarnation: cfg.Incarnation, status: pb.MemberState_ALIVE,
-		publishDue: true, probes: map[uint64]*probe{}, regionSeen: map[string]time.Time{},
-		regionLost: map[string]bool{}, alarms: map[string]time.Time{}, dirty: true}
-	g.Watch(keyPrefix, c.note)
+		publishDue: true, probes: map[uint64]*probe{}, regionContact: map[string]time.Time{},
+		regionUnreachable: map[string]bool{}, domainSuspicions: map[string]time.Time{}, changed: true}
+	g.Watch(keyPrefix, c.enqueueItem)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rebuild()
+	c.rebuildSnapshots()
 	return c
 }
 
-// note keeps a newer item for the next pass. It takes no other lock, because gossip may call it while this core
+// enqueueItem queues a newer item for readInbox. It takes no other lock, because gossip may call it while this core
 // writes an item.
-func (c *Core) note(item *pb.GossipItem) {
+func (c *Core) enqueueItem(item *pb.GossipItem) {
 	c.inboxMu.Lock()
 	defer c.inboxMu.Unlock()
 	c.inbox = append(c.inbox, item)
 }
 
-// Members returns all known nodes in the order of their names, the own one and dead ones included. The slice is
-// shared and must not be changed.
+// Members returns all known nodes, sorted by name, the local one and dead ones included. The slice is shared and must
+// not be changed.
 func (c *Core) Members() []Member { return *c.snapshot.Load() }
 
 // Live returns the nodes that may get new work: alive, not suspected and not leaving. The slice is shared and
 // must not be changed.
 func (c *Core) Live() []Member { return *c.live.Load() }
 
-// Self returns the own node.
+// Self returns the local node.
 func (c *Core) Self() Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,17 +219,17 @@
 	return m
 }
 
-// Watch calls fn with the new view after each change; it must not block.
+// Watch registers fn to be called with the new view after changes; fn must not block.
 func (c *Core) Watch(fn func(members []Member)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.watches = append(slices.Clone(c.watches), fn)
 }
 
-// Leave announces that the node takes no new work. The next Tick sends it.
+// Leave announces that the node takes no new work. The next Tick sends the announcement.
 func (c *Core) Leave() { c.setStatus(pb.MemberState_LEAVING) }
 
-// Left announces that the process ends.
+// Left announces that the process ends. The next Tick sends the announcement.
 func (c *Core) Left() { c.setStatus(pb.MemberState_LEFT) }
 
 func (c *Core) setStatus(status pb.MemberState_Status) {
@@ -231,11 +238,11 @@
 	if c.status == status {
 		return
 	}
-	c.status, c.publishDue, c.urgent, c.dirty = status, true, true, true
+	c.status, c.publishDue, c.urgent, c.changed = status, true, true, true
 }
 
-// SetLoad reports the number of open requests of the own node. It is quantized to powers of two, and changes are
-// sent at most every loadPeriod.
+// SetLoad sets the number of open requests of the local node. It is rounded up to a power of two, and changes are sent
+// at most every loadPeriod.
 func (c *Core) SetLoad(open int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,36 +251,37 @@
 		quantized = max(1, quantized*2)
 	}
 	if quantized != c.load {
-		c.load, c.publishDue, c.dirty = quantized, true, true
+		c.load, c.publishDue, c.changed = quantized, true, true
 	}
 }
 
-// Tick does what is due at now and returns the messages to send, those of gossip included.
+// Tick runs the tasks that are due and returns the messages to send, those of gossip included.
 func (c *Core) Tick(now time.Time) []gossip.Message {
 	c.mu.Lock()
 	c.readInbox(now)
-	c.age(now)
+	c.updateLiveness(now)
 	c.publish(now)
-	out := c.probeDue(now)
-	out = append(out, c.timeouts(now)...)
-	out = append(out, c.accuse(now)...)
-	c.finish()
+	out := c.sendDueProbes(now)
+	out = append(out, c.handleTimeouts(now)...)
+	out = append(out, c.notifyDeadNode(now)...)
+	c.unlockAndNotify()
 	out = append(out, c.g.Tick(now)...)
 	return out
 }
 
-// Handle takes a message from a peer and returns the messages to send. Unknown kinds are ignored.
+// Handle processes a message from a peer and returns the messages to send, those of gossip included. Unknown kinds are
+// ignored.
 func (c *Core) Handle(now time.Time, from string, env *pb.Envelope) []gossip.Message {
 	out := c.g.Handle(now, from, env)
 	c.mu.Lock()
 	c.readInbox(now)
 	switch body := env.Body.(type) {
 	case *pb.Envelope_Probe:
-		out = append(out, c.answer(from, body.Probe.GetNumber(), true)...)
+		out = append(out, c.sendAck(from, body.Probe.GetNumber(), true)...)
 	case *pb.Envelope_ProbeAck:
-		out = append(out, c.acknowledged(now, from, body.ProbeAck)...)
+		out = append(out, c.handleAck(now, from, body.ProbeAck)...)
 	case *pb.Envelope_ProbeRequest:
-		out = append(out, c.relay(now, from, body.ProbeRequest)...)
+		out = append(out, c.probeOnRequest(now, from, body.ProbeRequest)...)
 	}
 	wasDue := c.urgent
 	c.publish(now)
@@ -284,12 +292,13 @@
 	return out
 }
 
-// finish updates the snapshot, releases c.mu and calls the watches. Ticks do this, and not each message, because
-// a new snapshot takes as long as dozens of messages and many arrive together when a failure domain is lost.
-func (c *Core) finish() {
-	changed := c.dirty
+// unlockAndNotify rebuilds the snapshots after changes, unlocks c.mu and calls the watches. It runs once per tick, not per
+// message, because a snapshot takes as long as dozens of messages, and many arrive together when a failure domain is
+// lost.
+func (c *Core) unlockAndNotify() {
+	changed := c.changed
 	if changed {
-		c.rebuild()
+		c.rebuildSnapshots()
 	}
 	watches := c.watches
 	c.mu.Unlock()
@@ -301,9 +310,9 @@
 	}
 }
 
-// rebuild publishes the snapshots and gives gossip its peers.
-func (c *Core) rebuild() {
-	c.dirty = false
+// rebuildSnapshots builds the snapshots and sets the peers of gossip.
+func (c *Core) rebuildSnapshots() {
+	c.changed = false
 	all := []Member{c.self()}
 	var peers []gossip.Peer
 	for _, r := range c.records {
@@ -323,8 +332,8 @@
 		}
 	}
 	if len(peers) > 0 && !c.hadPeers {
-		// What was published before there were peers has reached nobody.
-		c.publishDue, c.published = true, time.Time{}
+		// An item published before there were peers has reached no other node.
+		c.publishDue, c.lastPublished = true, time.Time{}
 	}
 	c.hadPeers = len(peers) > 0
 	c.snapshot.Store(&all)
@@ -336,22 +345,22 @@
 	return gossip.Peer{Node: m.Node, Region: m.Region, FailureDomain: m.FailureDomain, Addr: m.NodeAddr}
 }
 
-// statusOf combines what the node says of itself with the suspicions of others.
+// statusOf returns a node's status: what the node announced itself, unless it is dead, suspected or listed as leaving.
 func (c *Core) statusOf(r *record) pb.MemberState_Status {
 	switch {
 	case r.dead:
 		return pb.MemberState_DEAD
 	case r.Status == pb.MemberState_LEFT:
 		return r.Status
-	case !r.suspected.IsZero(), c.regionLost[r.Region]:
+	case !r.suspectedAt.IsZero(), c.regionUnreachable[r.Region]:
 		return pb.MemberState_SUSPECT
-	case r.listLeaving:
+	case r.listedLeaving:
 		return pb.MemberState_LEAVING
 	}
 	return r.Status
 }
 
-// readInbox applies the items that gossip has accepted.
+// readInbox applies the queued gossip items.
 func (c *Core) readInbox(now time.Time) {
 	c.inboxMu.Lock()
 	items := c.inbox
@@ -364,16 +373,16 @@
 		}
 		node := strings.TrimPrefix(item.Key, keyPrefix)
 		if node == c.cfg.Node {
-			c.aboutSelf(item, state)
+			c.refute(item, state)
 			continue
 		}
-		c.apply(now, node, item, state)
+		c.applyItem(now, node, item, state)
 	}
 }
 
-// aboutSelf refutes what others say of the own node: a suspicion, or an item of an earlier process of the same
-// name.
-func (c *Core) aboutSelf(item *pb.GossipItem, state *pb.MemberState) {
+// refute handles an item about the local node. If the node did not write the item itself, it is a suspicion or comes
+// from an earlier process with the same name, and is refuted with a higher incarnation.
+func (c *Core) refute(item *pb.GossipItem, state *pb.MemberState) {
 	if item.Incarnation < c.incarnation {
 		return
 	}
@@ -382,11 +391,11 @@
 		return
 	}
 	c.incarnation = item.Incarnation + 1
-	c.publishDue, c.urgent, c.dirty = true, true, true
+	c.publishDue, c.urgent, c.changed = true, true, true
 }
 
-// apply records an item of another node.
-func (c *Core) apply(now time.Time, node string, item *pb.GossipItem, state *pb.MemberState) {
+// applyItem applies an item about another node.
+func (c *Core) applyItem(now time.Time, node string, item *pb.GossipItem, state *pb.MemberState) {
 	r := c.records[node]
 	if r == nil {
 		r = &record{Member: Member{Node: node}}
@@ -396,50 +405,52 @@
 		return
 	}
 	if item.Incarnation > r.Incarnation {
-		r.listLeaving = false
+		r.listedLeaving = false
 	}
 	r.Incarnation, r.sequence = item.Incarnation, item.Sequence
 	r.expires = now.Add(itemTTL)
-	c.dirty = true
+	c.changed = true
 	if state.Status == pb.MemberState_SUSPECT {
-		if r.suspected.IsZero() {
-			r.suspected = now
-			c.alarms[r.FailureDomain] = now
+		if r.suspectedAt.IsZero() {
+			r.suspectedAt = now
+			c.domainSuspicions[r.FailureDomain] = now
 		}
 		return
 	}
 	r.Region, r.FailureDomain = state.Region, state.FailureDomain
 	r.NodeAddr, r.CallerAddr = state.NodeAddr, state.CallerAddr
 	r.Status, r.Load = state.Status, state.Load
-	if !r.suspected.IsZero() || r.dead {
-		// A node that is back must not wait for batches; it cannot know that others consider it dead.
+	if !r.suspectedAt.IsZero() || r.dead {
+		// The return of a node must not wait for batches. The node itself could not mark its item urgent, because it
+		// does not know that others consider it dead.
 		c.g.MarkUrgent(now, keyPrefix+node)
 	}
-	r.suspected, r.dead = time.Time{}, false
+	r.suspectedAt, r.dead = time.Time{}, false
 }
 
-// age declares suspected nodes dead, forgets old ones and checks the contact with other regions.
-func (c *Core) age(now time.Time) {
+// updateLiveness marks suspected nodes dead after deadAfter, removes expired ones and updates which regions are
+// unreachable.
+func (c *Core) updateLiveness(now time.Time) {
 	for node, r := range c.records {
-		if !r.dead && !r.suspected.IsZero() && now.Sub(r.suspected) >= deadAfter {
-			r.dead, c.dirty = true, true
+		if !r.dead && !r.suspectedAt.IsZero() && now.Sub(r.suspectedAt) >= deadAfter {
+			r.dead, c.changed = true, true
 		}
 		if now.After(r.expires) {
 			delete(c.records, node)
-			c.dirty = true
+			c.changed = true
 		}
 	}
-	for region, seen := range c.regionSeen {
-		lost := now.Sub(seen) > regionTimeout
-		if lost != c.regionLost[region] {
-			c.regionLost[region], c.dirty = lost, true
+	for region, lastContact := range c.regionContact {
+		unreachable := now.Sub(lastContact) > regionTimeout
+		if unreachable != c.regionUnreachable[region] {
+			c.regionUnreachable[region], c.changed = unreachable, true
 		}
 	}
 }
 
-// publish writes the own item when something changed or it needs renewal.
+// publish writes the local node's item when it changed or is due for renewal.
 func (c *Core) publish(now time.Time) {
-	age := now.Sub(c.published)
+	age := now.Sub(c.lastPublished)
 	if !(c.urgent || c.publishDue && age >= loadPeriod || age >= c.refreshAfter) {
 		return
 	}
@@ -450,11 +461,11 @@
 		sequence = old.Sequence + 1
 	}
 	c.put(now, c.cfg.Node, c.incarnation, sequence, state, c.urgent)
-	c.published, c.publishDue, c.urgent = now, false, false
+	c.lastPublished, c.publishDue, c.urgent = now, false, false
 	c.refreshAfter = refreshPeriod/2 + time.Duration(c.cfg.Rand.Int64N(int64(refreshPeriod/2)))
 }
 
-// put writes a member item.
+// put writes the item of a member.
 func (c *Core) put(now time.Time, node string, incarnation, sequence uint64, state *pb.MemberState, urgent bool) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -9,13 +9,13 @@
 	"github.com/pollenlug/pollenlug/pkg/gossip"
 )
 
-// probeDue sends the probes of this second.
-func (c *Core) probeDue(now time.Time) []gossip.Message {
+// sendDueProbes sends the probes that are due: one in the local region and one in another per probePeriod.
+func (c *Core) sendDueProbes(now time.Time) []gossip.Message {
 	var out []gossip.Message
 	if !now.Before(c.nextProbe) {
 		c.nextProbe = now.Add(probePeriod)
-		target, alarmed := c.pickTarget(now, true)
-		out = append(out, c.probe(now, target, probe{alarmed: alarmed})...)
+		target, domainSuspected := c.pickTarget(now, true)
+		out = append(out, c.probe(now, target, probe{domainSuspected: domainSuspected})...)
 	}
 	if !now.Before(c.nextRegion) {
 		c.nextRegion = now.Add(probePeriod)
@@ -25,25 +25,25 @@
 	return out
 }
 
-// pickTarget returns a node to probe in the own region or in another one, or an empty name, and whether it was
-// picked because of a suspicion in its failure domain.
-func (c *Core) pickTarget(now time.Time, ownRegion bool) (target string, alarmed bool) {
+// pickTarget returns a node to probe in the local region or in another one, or an empty name, and whether it was picked
+// because of a suspicion in its failure domain.
+func (c *Core) pickTarget(now time.Time, ownRegion bool) (target string, domainSuspected bool) {
 	if ownRegion && c.cfg.Rand.IntN(2) == 0 {
-		if candidates := c.alarmed(now); len(candidates) > 0 {
+		if candidates := c.nodesInSuspectedDomains(now); len(candidates) > 0 {
 			return candidates[c.cfg.Rand.IntN(len(candidates))], true
 		}
 	}
 	var candidates []string
-	if c.cfg.Rand.IntN(anyNodeEvery) > 0 && (ownRegion || !c.regionMissed) {
+	if c.cfg.Rand.IntN(anyNodeEvery) > 0 && (ownRegion || !c.regionProbeFailed) {
 		for _, p := range c.g.View() {
-			if c.wanted(c.records[p.Node], ownRegion) {
+			if c.probeable(c.records[p.Node], ownRegion) {
 				candidates = append(candidates, p.Node)
 			}
 		}
 	}
 	if len(candidates) == 0 {
 		for _, node := range slices.Sorted(maps.Keys(c.records)) {
-			if c.wanted(c.records[node], ownRegion) {
+			if c.probeable(c.records[node], ownRegion) {
 				candidates = append(candidates, node)
 			}
 		}
@@ -54,38 +54,38 @@
 	return candidates[c.cfg.Rand.IntN(len(candidates))], false
 }
 
-// alarmed returns the nodes of the own region in failure domains with a recent suspicion.
-func (c *Core) alarmed(now time.Time) []string {
-	maps.DeleteFunc(c.alarms, func(_ string, at time.Time) bool { return now.Sub(at) > alarmTime })
-	if len(c.alarms) == 0 {
+// nodesInSuspectedDomains returns the nodes of the local region that are in failure domains with a recent suspicion.
+func (c *Core) nodesInSuspectedDomains(now time.Time) []string {
+	maps.DeleteFunc(c.domainSuspicions, func(_ string, at time.Time) bool { return now.Sub(at) > domainSuspicionTime })
+	if len(c.domainSuspicions) == 0 {
 		return nil
 	}
 	var out []string
 	for _, node := range slices.Sorted(maps.Keys(c.records)) {
 		r := c.records[node]
-		if _, ok := c.alarms[r.FailureDomain]; ok && c.wanted(r, true) {
+		if _, ok := c.domainSuspicions[r.FailureDomain]; ok && c.probeable(r, true) {
 			out = append(out, node)
 		}
 	}
 	return out
 }
 
-// wanted reports whether the node is worth a probe. A suspected node is decided already.
-func (c *Core) wanted(r *record, ownRegion bool) bool {
-	if r == nil || r.dead || r.NodeAddr == "" || r.Status == pb.MemberState_LEFT || !r.suspected.IsZero() {
+// probeable reports whether a node may be probed. Suspected nodes are not: only a refutation can clear them.
+func (c *Core) probeable(r *record, ownRegion bool) bool {
+	if r == nil || r.dead || r.NodeAddr == "" || r.Status == pb.MemberState_LEFT || !r.suspectedAt.IsZero() {
 		return false
 	}
 	return (r.Region == c.cfg.Region) == ownRegion
 }
 
-// probe sends one probe and keeps it until its answer or timeout.
+// probe sends one probe and tracks it until its answer or timeout.
 func (c *Core) probe(now time.Time, target string, p probe) []gossip.Message {
 	r := c.records[target]
 	if r == nil || r.NodeAddr == "" {
 		return nil
 	}
-	if r.Region != c.cfg.Region && c.regionSeen[r.Region].IsZero() {
-		c.regionSeen[r.Region] = now
+	if r.Region != c.cfg.Region && c.regionContact[r.Region].IsZero() {
+		c.regionContact[r.Region] = now
 	}
 	c.nextNumber++
 	p.target, p.sent = target, now
@@ -94,8 +94,8 @@
 		Env: &pb.Envelope{Body: &pb.Envelope_Probe{Probe: &pb.Probe{Number: c.nextNumber}}}}}
 }
 
-// answer sends a ProbeAck to a node.
-func (c *Core) answer(to string, number uint64, reached bool) []gossip.Message {
+// sendAck sends a ProbeAck to a node; reached tells whether the probed node answered.
+func (c *Core) sendAck(to string, number uint64, reached bool) []gossip.Message {
 	r := c.records[to]
 	if r == nil || r.NodeAddr == "" {
 		return nil
@@ -104,16 +104,16 @@
 	return []gossip.Message{{To: peerOf(r.Member), Env: &pb.Envelope{Body: &pb.Envelope_ProbeAck{ProbeAck: ack}}}}
 }
 
-// relay probes a node for another one.
-func (c *Core) relay(now time.Time, from string, request *pb.ProbeRequest) []gossip.Message {
-	if len(c.probes) >= maxRelays || request.Target == c.cfg.Node {
+// probeOnRequest sends an indirect probe on request of another node.
+func (c *Core) probeOnRequest(now time.Time, from string, request *pb.ProbeRequest) []gossip.Message {
+	if len(c.probes) >= maxProbesInProgress || request.Target == c.cfg.Node {
 		return nil
 	}
-	return c.probe(now, request.Target, probe{origin: from, number: request.Number})
+	return c.probe(now, request.Target, probe{requester: from, requestNumber: request.Number})
 }
 
-// acknowledged takes an answer from the target itself or from a peer that was asked to probe it.
-func (c *Core) acknowledged(now time.Time, from string, ack *pb.ProbeAck) []gossip.Message {
+// handleAck handles an answer of the target itself or of a peer that was asked for an indirect probe.
+func (c *Core) handleAck(now time.Time, from string, ack *pb.ProbeAck) []gossip.Message {
 	p := c.probes[ack.Number]
 	if p == nil {
 		return nil
@@ -121,12 +121,12 @@
 	switch {
 	case from == p.target:
 		delete(c.probes, ack.Number)
-		c.heard(now, from)
-		if p.origin != "" {
-			return c.answer(p.origin, p.number, true)
+		c.recordContact(now, from)
+		if p.requester != "" {
+			return c.sendAck(p.requester, p.requestNumber, true)
 		}
-		if r := c.records[from]; p.indirect.IsZero() && !p.alarmed && r != nil && r.Region == c.cfg.Region {
-			c.result(true)
+		if r := c.records[from]; p.indirectSent.IsZero() && !p.domainSuspected && r != nil && r.Region == c.cfg.Region {
+			c.recordResult(true)
 		}
 	case !slices.Contains(p.asked, from):
 	case ack.Reached:
@@ -138,85 +138,87 @@
 	return nil
 }
 
-// heard records contact with the node's region.
-func (c *Core) heard(now time.Time, node string) {
+// recordContact records contact with the region of a node.
+func (c *Core) recordContact(now time.Time, node string) {
 	if r := c.records[node]; r != nil && r.Region != c.cfg.Region {
-		c.regionSeen[r.Region] = now
-		c.regionMissed = false
+		c.regionContact[r.Region] = now
+		c.regionProbeFailed = false
 	}
 }
 
-// timeouts handles the probes without an answer.
-func (c *Core) timeouts(now time.Time) []gossip.Message {
+// handleTimeouts handles the probes that have had no answer in time.
+func (c *Core) handleTimeouts(now time.Time) []gossip.Message {
 	var out []gossip.Message
 	for _, number := range slices.Sorted(maps.Keys(c.probes)) {
 		p := c.probes[number]
 		switch {
-		case p.origin != "":
-			if now.Sub(p.sent) >= relayTimeout {
+		case p.requester != "":
+			if now.Sub(p.sent) >= requestedProbeTimeout {
 				delete(c.probes, number)
-				out = append(out, c.answer(p.origin, p.number, false)...)
+				out = append(out, c.sendAck(p.requester, p.requestNumber, false)...)
 			}
-		case p.indirect.IsZero():
+		case p.indirectSent.IsZero():
 			if now.Sub(p.sent) >= probeTimeout {
-				out = append(out, c.missed(now, number, p)...)
+				out = append(out, c.handleProbeTimeout(now, number, p)...)
 			}
-		case now.Sub(p.indirect) >= indirectTimeout:
-			// No second observer answered: the fault may be on this side, and nobody is suspected.
+		case now.Sub(p.indirectSent) >= indirectTimeout:
+			// No peer answered the request for an indirect probe. The fault may be on this side, so the target is not
+			// suspected.
 			delete(c.probes, number)
 		}
 	}
 	return out
 }
 
-// missed asks peers in other failure domains to probe a node of the own region.
-func (c *Core) missed(now time.Time, number uint64, p *probe) []gossip.Message {
+// handleProbeTimeout handles a direct probe that timed out. For a target in the local region it requests indirect probes.
+func (c *Core) handleProbeTimeout(now time.Time, number uint64, p *probe) []gossip.Message {
 	r := c.records[p.target]
 	if r != nil && r.Region != c.cfg.Region {
-		c.regionMissed = true
-	} else if !p.alarmed {
-		c.result(false)
+		c.regionProbeFailed = true
+	} else if !p.domainSuspected {
+		c.recordResult(false)
 	}
 	if r == nil || r.Region != c.cfg.Region || c.selfSuspected() {
 		delete(c.probes, number)
 		return nil
 	}
-	p.indirect = now
+	p.indirectSent = now
 	var out []gossip.Message
-	for _, observer := range c.observers(p.target) {
-		p.asked = append(p.asked, observer.Node)
-		out = append(out, gossip.Message{To: peerOf(observer), Env: &pb.Envelope{Body: &pb.Envelope_ProbeRequest{
+	for _, prober := range c.pickIndirectProbers(p.target) {
+		p.asked = append(p.asked, prober.Node)
+		out = append(out, gossip.Message{To: peerOf(prober), Env: &pb.Envelope{Body: &pb.Envelope_ProbeRequest{
 			ProbeRequest: &pb.ProbeRequest{Number: number, Target: p.target}}}})
 	}
 	return out
 }
 
-// observers picks peers in failure domains other than the own one, each in a different domain. Where the whole
-// region is one failure domain, as on a developer's machine, peers of the own domain are asked.
-func (c *Core) observers(target string) []Member {
-	var others, same []Member
+// pickIndirectProbers picks indirectPeers peers of the local region for indirect probes, in failure domains other than this
+// node's and if possible different from each other. Where the whole region is one failure domain, as on a developer's
+// machine, it picks peers of this node's domain.
+func (c *Core) pickIndirectProbers(target string) []Member {
+	var candidates, ownDomain []Member
 	for _, node := range slices.Sorted(maps.Keys(c.records)) {
 		r := c.records[node]
-		if node == target || !c.wanted(r, true) {
+		if node == target || !c.probeable(r, true) {
 			continue
 		}
 		if r.FailureDomain == c.cfg.FailureDomain {
-			same = append(same, r.Member)
+			ownDomain = append(ownDomain, r.Member)
 			continue
 		}
-		others = append(others, r.Member)
+		candidates = append(candidates, r.Member)
 	}
-	if len(others) == 0 {
-		others = same
+	if len(candidates) == 0 {
+		candidates = ownDomain
 	}
-	c.cfg.Rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	c.cfg.Rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	var out []Member
 	for _, distinct := range []bool{true, false} {
-		for _, m := range others {
+		for _, m := range candidates {
 			used := slices.ContainsFunc(out, func(o Member) bool {
 				return o.Node == m.Node || distinct && o.FailureDomain == m.FailureDomain
 			})
-			if len(out) < indirectPeers && !used {
+			if len(out) < indirectProbers && !used {
 				out = append(out, m)
 			}
 		}
@@ -224,47 +226,47 @@
 	return out
 }
 
-// suspect tells all nodes that two observers cannot reach the node.
+// suspect announces to all nodes that neither this node nor an indirect prober can reach a node.
 func (c *Core) suspect(now time.Time, node string) {
 	r := c.records[node]
-	if r == nil || r.dead || !r.suspected.IsZero() || c.selfSuspected() {
+	if r == nil || r.dead || !r.suspectedAt.IsZero() || c.selfSuspected() {
 		return
 	}
-	r.suspected, c.dirty = now, true
-	c.alarms[r.FailureDomain] = now
+	r.suspectedAt, c.changed = now, true
+	c.domainSuspicions[r.FailureDomain] = now
 	c.put(now, node, r.Incarnation, r.sequence+1, &pb.MemberState{Status: pb.MemberState_SUSPECT,
 		Reporter: c.cfg.Node, ReporterDomain: c.cfg.FailureDomain}, true)
 }
 
-// result records the outcome of an own direct probe.
-func (c *Core) result(ok bool) {
+// recordResult records the outcome of a direct probe of this node.
+func (c *Core) recordResult(ok bool) {
 	before := c.selfSuspected()
-	c.results = append(c.results, ok)
-	if len(c.results) > selfWindow {
-		c.results = c.results[1:]
+	c.probeResults = append(c.probeResults, ok)
+	if len(c.probeResults) > selfSuspicionWindow {
+		c.probeResults = c.probeResults[1:]
 	}
 	if before != c.selfSuspected() {
-		c.dirty = true
+		c.changed = true
 	}
 }
 
-// selfSuspected reports whether most of the own probes failed.
+// selfSuspected reports whether at least selfSuspicionFailures of this node's recent direct probes failed.
 func (c *Core) selfSuspected() bool {
 	failed := 0
-	for _, ok := range c.results {
+	for _, ok := range c.probeResults {
 		if !ok {
 			failed++
 		}
 	}
-	return failed >= selfProbes
+	return failed >= selfSuspicionFailures
 }
 
-// accuse reminds one node considered dead of the suspicion, so that it can refute when it is alive.
-func (c *Core) accuse(now time.Time) []gossip.Message {
-	if now.Before(c.nextAccuse) {
+// notifyDeadNode sends the suspicion to one node considered dead, so that it can refute when it is alive.
+func (c *Core) notifyDeadNode(now time.Time) []gossip.Message {
+	if now.Before(c.nextDeadNotice) {
 		return nil
 	}
-	c.nextAccuse = now.Add(accusePeriod)
+	c.nextDeadNotice = now.Add(deadNoticePeriod)
 	var dead []string
 	for _, node := range slices.Sorted(maps.Keys(c.records)) {
 		if r := c.records[node]; r.dead && r.NodeAddr != "" {
--- a/pkg/membership/runner.go
+++ b/pkg/membership/runner.go
@@ -18,12 +18,12 @@
 	listTimeout = 5 * time.Second
 )
 
-// Sender sends messages without an answer; internal/transport satisfies it.
+// Sender sends one-way messages; internal/transport implements it.
 type Sender interface {
 	Send(addr string, env *pb.Envelope)
 }
 
-// Runner drives a Core, and with it the gossip core, with the clock.
+// Runner drives a Core, and the gossip core below it, with the clock, and reads the instance list.
 type Runner struct {
 	*Core
 	sender Sender
@@ -31,12 +31,12 @@
 	log    *logrus.Entry
 }
 
-// NewRunner returns a runner; Run starts it. The list may be nil.
+// NewRunner returns a Runner; Run starts it. The list may be nil.
 func NewRunner(core *Core, sender Sender, list platform.InstanceList, log *logrus.Entry) *Runner {
 	return &Runner{core, sender, list, log}
 }
 
-// Run ticks until the context ends.
+// Run ticks the core until the context is done.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
@@ -65,7 +65,7 @@
 	defer cancel()
 	instances, err := r.list.Instances(ctx)
 	if err != nil {
-		r.log.WithError(err).Debug("instance list cannot be read; members known by gossip stay in use")
+		r.log.WithError(err).Debug("could not read the instance list; continuing with the members known by gossip")
 		return
 	}
 	r.Core.HandleInstances(time.Now(), instances)
@@ -83,7 +83,7 @@
 	r.send(r.Core.Tick(time.Now()))
 }
 
-// Receive handles a message of gossip or membership from a peer and sends the answers.
+// Receive handles a gossip or membership message from a peer and sends the replies.
 func (r *Runner) Receive(from string, env *pb.Envelope) {
 	r.send(r.Core.Handle(time.Now(), from, env))
 }
--- a/pkg/membership/runner_test.go
+++ b/pkg/membership/runner_test.go
@@ -23,7 +23,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// sharedList is an instance list in memory.
+// sharedList is an in-memory instance list.
 type sharedList struct {
 	mu        sync.Mutex
 	instances []platform.Instance
@@ -35,8 +35,8 @@
 	return l.instances, nil
 }
 
-// Guards against cores that work in virtual time only: four nodes over QUIC find each other, share the load of a
-// worker and a failed worker, and learn of a leave.
+// Guards against cores that work only in virtual time: four nodes over QUIC must find each other, share the loads of a
+// worker and of an unreachable one, and learn that a node leaves.
 func TestRunnersOverTransport(t *testing.T) {
 	authority, err := transport.NewDevAuthority()
 	assert.NilError(t, err)
@@ -105,7 +105,7 @@
 	return &pb.WorkerLoad{Server: worker, Running: 13}, nil
 }
 
-// Guards against messages of a peer that make the cores panic or answer without bound.
+// Guards against messages from a peer that make the cores panic or send an unbounded number of messages.
 func FuzzHandle(f *testing.F) {
 	for _, env := range []*pb.Envelope{
 		{Body: &pb.Envelope_Probe{Probe: &pb.Probe{Number: 1}}},
