--- a/pkg/loadview/loadview.go
+++ b/pkg/loadview/loadview.go
@@ -1,18 +1,18 @@
-// Package loadview keeps the load of all backend servers ("workers") on every entry node.
+// Package loadview replicates the load of all backend servers ("workers") to every entry node.
 //
 // A few observers per failure domain, chosen by rendezvous hashing, poll the workers of their domain. They send
-// changes of the quantized load to the domain's relay, which numbers them. Every node asks one peer of gossip's
-// view every pullPeriod for what changed since the versions that it has, and the relay pushes to a few peers so
-// that a change starts from several nodes. A peer answers with the state of the workers that changed, not with a
-// log: a worker that changed twice is sent once, so a short budget makes loads older but never builds a queue.
+// changes of the quantized load to the domain's relay, which gives them sequence numbers. Every pullPeriod each node
+// asks one peer of the gossip view for the changes since the versions that it has. The relay also pushes changes to a
+// few peers, so that each change starts from several nodes. A peer answers with the state of the changed workers, not
+// with a log: a worker that changed twice is sent once, so a short budget makes loads older but never builds a queue.
 //
-// With one version per failure domain a request takes about 200 bytes. One version per observer (hundreds) would
+// With one version per failure domain a pull request takes about 200 bytes. One version per observer (hundreds) would
 // not fit into the budget, and pushing every change through gossip sends it to each node about three times;
-// docs/measurements-gossip.md compares the three ways.
+// docs/measurements-gossip.md compares the three protocols.
 //
-// Loads are quantized in steps of half an octave. A change of the running requests is sent when the number is a
-// tenth outside of the step sent last, and at most every changePeriod per worker, unless the worker begins to leave,
-// cannot be reached or jumps by several steps.
+// Loads are quantized to levels of half an octave. A change in the number of running requests is sent when the number
+// is outside the level sent last by more than a tenth, and at most every changePeriod per worker, unless the worker
+// starts to leave, becomes unreachable or changes by jumpLevels or more.
 //
 // Core is deterministic, like gossip.Core.
 package loadview
@@ -32,36 +32,36 @@
 )
 
 const (
-	// DefaultBytesPerSecond is the part of a node's control budget of 6 KB/s that is for load.
+	// DefaultBytesPerSecond is the share of load reports in a node's budget of 6 KB/s for control traffic.
 	DefaultBytesPerSecond = 2800
-	// ObserversPerDomain bounds the observers of a failure domain. With fewer, an observer polls too many
-	// workers; with more, the reports to the relay are small messages that are mostly overhead.
+	// ObserversPerDomain bounds the number of observers of a failure domain. With fewer, each would poll too many
+	// workers; with more, the reports to the relay would be small messages that are mostly overhead.
 	ObserversPerDomain = 8
-	// pullPeriod is the time between two requests of a node, pushPeriod between two pushes of a relay and
-	// reportPeriod between two reports of an observer.
+	// pullPeriod is the time between two pull requests of a node, pushPeriod that between two pushes of a relay, and
+	// reportPeriod that between two reports of an observer.
 	pullPeriod   = 500 * time.Millisecond
 	pushPeriod   = 500 * time.Millisecond
 	reportPeriod = 500 * time.Millisecond
 	// pushPeers is the number of peers a relay pushes to.
 	pushPeers = 2
-	// changePeriod is the least time between two changes of one worker, jumpLevels the number of steps that does
-	// not wait for it.
+	// changePeriod is the least time between two reported changes of one worker; a change by jumpLevels or more levels
+	// is reported without waiting.
 	changePeriod = 2 * time.Second
 	jumpLevels   = 3
-	// fullPeriod is the time between two complete reports of an observer; unobservedAfter is when a relay gives a
-	// worker without reports up as unobserved.
+	// fullPeriod is the time between two complete reports of an observer; unobservedAfter is the time without a report
+	// after which the relay flags a worker as unobserved.
 	fullPeriod      = 5 * time.Second
 	unobservedAfter = 12 * time.Second
-	// maxMessage bounds the workers of one message, in bytes: two packets.
+	// maxMessage bounds the workers of one message, in bytes, to what fits into two packets.
 	maxMessage = 2300
-	// workerBytes estimates one worker in a message.
+	// workerBytes is the estimated size of one worker in a message, in bytes.
 	workerBytes = 11
-	// budgetBurst is how many seconds of budget may be spent at once.
+	// budgetBurst is the number of seconds of budget that may be spent at once.
 	budgetBurst = 2
-	// maxDomains and maxWorkers bound what a node keeps.
-	maxDomains = 64
-	maxWorkers = 10000
-	maxAge     = 255
+	// maxDomains and maxWorkers bound the failure domains that a node stores and the workers of each.
+	maxDomains   = 64
+	maxWorkers   = 10000
+	maxAgeTenths = 255 // greatest age of a load in a message, in tenths of a second
 )
 
 // Worker is a backend server in the instance list.
@@ -69,12 +69,12 @@
 	Name, FailureDomain string
 }
 
-// Members is the part of membership.Core that load views use.
+// Members is the part of membership.Core that Core uses.
 type Members interface {
 	Live() []membership.Member
 }
 
-// Peers is the part of gossip.Core that load views use.
+// Peers is the part of gossip.Core that Core uses.
 type Peers interface {
 	View() []gossip.Peer
 	Borrow(now time.Time, bytes int) bool
@@ -84,89 +84,90 @@
 type Config struct {
 	Node, FailureDomain string
 	Rand                *rand.Rand
-	// BytesPerSecond bounds what the core sends, with gossip.MessageOverhead; 0 means the default.
+	// BytesPerSecond bounds the traffic that the core sends, gossip.MessageOverhead included; 0 means the default.
 	BytesPerSecond int
 }
 
-// state is the load of one worker.
+// state is the replicated load of one worker.
 type state struct {
 	load     quantized
 	observed time.Time
-	// sequence is the domain's sequence of the last change.
+	// sequence is the sequence number, within the domain, of the last change.
 	sequence uint64
 }
 
-// domain is what a node knows of the workers of a failure domain.
+// domain is the replicated state of the workers of a failure domain.
 type domain struct {
 	term, sequence uint64
-	// asOf is when the relay confirmed this version.
+	// asOf is the time at which the relay confirmed this version.
 	asOf    time.Time
 	workers map[uint32]*state
 }
 
-// version is a term with a sequence.
+// version is a sequence number within the term of a relay.
 type version struct{ term, sequence uint64 }
 
-// own is a worker that this node observes.
-type own struct {
+// observation is the state of a worker that this node observes.
+type observation struct {
 	load, sent quantized
-	running    uint32 // before quantization
+	running    uint32 // running requests before quantization
 	observed   time.Time
 	sentAt     time.Time
 	domain     uint32
 }
 
-// Core keeps the load of all workers. Its methods may be called from several goroutines.
+// Core holds the load of all workers. Its methods may be called from several goroutines.
 type Core struct {
 	cfg     Config
 	peers   Peers
 	members Members
 
-	mu       sync.Mutex
-	list     []Worker
-	domains  map[uint32]*domain
-	names    map[string]uint32
-	observed map[uint32]*own
-	byNode   map[string]membership.Member
-	live     []membership.Member // the view that byNode and duties were made from
-	duties   []string
-	relays   map[uint32]string // relay of each failure domain, by hash
-	stale    bool              // the list of workers has changed
-	// reports has the time of the last report of each worker whose domain this node relays.
-	reports map[uint32]time.Time
-	// terms has the term that this node numbers as relay, pushed the version up to which it has pushed, by domain.
-	terms    map[uint32]uint64
-	pushed   map[uint32]version
-	tokens   float64
-	refilled time.Time
+	mu             sync.Mutex
+	list           []Worker
+	domains        map[uint32]*domain
+	ids            map[string]uint32
+	observations   map[uint32]*observation
+	byNode         map[string]membership.Member
+	live           []membership.Member // the view that byNode, duties and relays were computed from
+	assigned       []string
+	relays         map[uint32]string // relay of each failure domain, by the domain's hash
+	workersChanged bool              // the list of workers has changed
+	// lastReports has the time of the last report of each worker whose domain this node relays.
+	lastReports map[uint32]time.Time
+	// relayTerms has the terms that this node started as relay, and pushedVersions the versions up to which it has
+	// pushed, both by domain.
+	relayTerms     map[uint32]uint64
+	pushedVersions map[uint32]version
+	tokens         float64
+	refilled       time.Time
 	nextPull, nextPush, nextReport,
 	nextFull time.Time
 	sentMessages, sentBytes uint64
 }
 
-// NewCore returns a core without workers.
+// NewCore returns a Core without workers.
 func NewCore(cfg Config, peers Peers, members Members) *Core {
 	if cfg.BytesPerSecond == 0 {
 		cfg.BytesPerSecond = DefaultBytesPerSecond
 	}
-	return &Core{cfg: cfg, peers: peers, members: members, domains: map[uint32]*domain{}, names: map[string]uint32{},
-		observed: map[uint32]*own{}, byNode: map[string]membership.Member{}, relays: map[uint32]string{},
-		reports: map[uint32]time.Time{}, terms: map[uint32]uint64{}, pushed: map[uint32]version{},
+	return &Core{cfg: cfg, peers: peers, members: members, domains: map[uint32]*domain{}, ids: map[string]uint32{},
+		observations: map[uint32]*observation{}, byNode: map[string]membership.Member{}, relays: map[uint32]string{},
+		lastReports: map[uint32]time.Time{}, relayTerms: map[uint32]uint64{}, pushedVersions: map[uint32]version{},
 		tokens: float64(budgetBurst * cfg.BytesPerSecond)}
 }
 
-// hashOf identifies a worker or failure domain in messages.
+// hashOf returns the ID of a worker or failure domain in messages.
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// SetWorkers replaces the list of workers, as read from the instance list. Loads of other workers are dropped.
+// SetWorkers replaces the list of workers, as read from the instance list. Loads of workers not in it are dropped.
 func (c *Core) SetWorkers(workers []Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.list = slices.Clone(workers)
-	c.names = make(map[string]uint32, len(workers))
+	c.ids = make(map[string]uint32, len(workers))
 	known := make(map[uint32]bool, len(workers))
 	for _, w := range workers {
-		c.names[w.Name] = hashOf(w.Name)
+		c.ids[w.Name] = hashOf(w.Name)
 		known[hashOf(w.Name)] = true
 	}
 	for _, d := range c.domains {
@@ -176,31 +177,31 @@
 			}
 		}
 	}
-	c.stale = true
+	c.workersChanged = true
 }
 
-// Duties returns the workers that this node observes, which the caller polls. The slice is shared and must not be
+// Duties returns the workers that this node observes; the caller polls them. The slice is shared and must not be
 // changed.
 func (c *Core) Duties() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
-	return c.duties
+	return c.assigned
 }
 
-// refresh follows changes of the members and of the list of workers.
+// refresh recomputes relays and observed workers after changes of the live members or of the list of workers.
 func (c *Core) refresh() {
 	live := c.members.Live()
 	same := len(live) == len(c.live) && (len(live) == 0 || &live[0] == &c.live[0])
-	if same && !c.stale {
+	if same && !c.workersChanged {
 		return
 	}
-	c.live, c.stale = live, false
+	c.live, c.workersChanged = live, false
 	c.byNode = make(map[string]membership.Member, len(live))
 	for _, m := range live {
 		c.byNode[m.Node] = m
 	}
-	c.duties = nil
+	c.assigned = nil
 	c.relays = map[uint32]string{}
 	observers := map[string][]membership.Member{}
 	for _, w := range c.list {
@@ -210,23 +211,23 @@
 		}
 		chosen := membership.Rendezvous(w.Name, observers[w.FailureDomain], 1)
 		if len(chosen) > 0 && chosen[0].Node == c.cfg.Node {
-			c.duties = append(c.duties, w.Name)
+			c.assigned = append(c.assigned, w.Name)
 		}
 	}
-	mine := map[uint32]bool{}
-	for _, name := range c.duties {
-		mine[c.names[name]] = true
+	isAssigned := map[uint32]bool{}
+	for _, name := range c.assigned {
+		isAssigned[c.ids[name]] = true
 	}
-	for id := range c.observed {
-		if !mine[id] {
-			delete(c.observed, id)
+	for id := range c.observations {
+		if !isAssigned[id] {
+			delete(c.observations, id)
 		}
 	}
 	c.nextFull = time.Time{}
 }
 
-// Observers returns the nodes that share the workers of a failure domain. A domain without live entry nodes is
-// observed from others.
+// Observers returns the nodes that share the polling of the workers of a failure domain. A domain without live entry
+// nodes is observed from other domains.
 func Observers(failureDomain string, live []membership.Member) []membership.Member {
 	inside := membership.RendezvousInside("observers/"+failureDomain, live, ObserversPerDomain, failureDomain)
 	if len(inside) > 0 {
@@ -235,7 +236,8 @@
 	return membership.Rendezvous("observers/"+failureDomain, live, ObserversPerDomain)
 }
 
-// relayOf returns the relay, which is one of the observers so that its own observations need no message.
+// relayOf returns the relay of a failure domain, or an empty name without observers. It is one of the observers, so
+// that its own observations need no message.
 func relayOf(failureDomain string, observers []membership.Member) string {
 	chosen := membership.Rendezvous("relay/"+failureDomain, observers, 1)
 	if len(chosen) == 0 {
@@ -244,26 +246,26 @@
 	return chosen[0].Node
 }
 
-// Observe takes the result of a poll of a worker.
+// Observe records the result of a poll. Results of workers that this node does not observe are dropped.
 func (c *Core) Observe(now time.Time, load *pb.WorkerLoad) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
-	id, ok := c.names[load.Server]
-	if !ok || !slices.Contains(c.duties, load.Server) {
+	id, ok := c.ids[load.Server]
+	if !ok || !slices.Contains(c.assigned, load.Server) {
 		return
 	}
-	o := c.observed[id]
+	o := c.observations[id]
 	if o == nil {
-		o = &own{}
-		c.observed[id] = o
+		o = &observation{}
+		c.observations[id] = o
 		i := slices.IndexFunc(c.list, func(w Worker) bool { return w.Name == load.Server })
 		o.domain = hashOf(c.list[i].FailureDomain)
 	}
 	o.load, o.running, o.observed = quantize(load), load.Running, now
 }
 
-// Load is the known load of a worker.
+// Load is the last known load of a worker. Its numbers are quantized.
 type Load struct {
 	Running, Waiting uint32
 	CachePercent     uint32
@@ -272,24 +274,24 @@
 	Unreachable      bool
 	// Unobserved means that no observer has reported the worker for a while.
 	Unobserved bool
-	// Age is the time since this load was known to be current.
+	// Age is the time since the load was last known to be current.
 	Age time.Duration
 }
 
-// Get returns the load of a worker.
+// Get returns the load of a worker, or false when none is known.
 func (c *Core) Get(now time.Time, worker string) (Load, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id, ok := c.names[worker]
+	id, ok := c.ids[worker]
 	if !ok {
 		return Load{}, false
 	}
-	if o := c.observed[id]; o != nil {
-		return o.load.expand(now.Sub(o.observed)), true
+	if o := c.observations[id]; o != nil {
+		return o.load.dequantize(now.Sub(o.observed)), true
 	}
 	for _, d := range c.domains {
 		if s := d.workers[id]; s != nil {
-			return s.load.expand(now.Sub(later(s.observed, d.asOf))), true
+			return s.load.dequantize(now.Sub(laterTime(s.observed, d.asOf))), true
 		}
 	}
 	return Load{}, false
@@ -301,9 +303,9 @@
 	defer c.mu.Unlock()
 	out := make(map[string]Load, len(c.list))
 	for _, w := range c.list {
-		id := c.names[w.Name]
-		if o := c.observed[id]; o != nil {
-			out[w.Name] = o.load.expand(now.Sub(o.observed))
+		id := c.ids[w.Name]
+		if o := c.observations[id]; o != nil {
+			out[w.Name] = o.load.dequantize(now.Sub(o.observed))
 			continue
 		}
 		d := c.domains[hashOf(w.FailureDomain)]
@@ -311,26 +313,26 @@
 			continue
 		}
 		s := d.workers[id]
-		out[w.Name] = s.load.expand(now.Sub(later(s.observed, d.asOf)))
+		out[w.Name] = s.load.dequantize(now.Sub(laterTime(s.observed, d.asOf)))
 	}
 	return out
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// Sent returns the messages and bytes sent so far.
+// Sent returns the numbers of messages and bytes sent so far, gossip.MessageOverhead included.
 func (c *Core) Sent() (messages, bytes uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentMessages, c.sentBytes
 }
 
-// spend takes a message from the budget, or from what gossip does not need of its own.
+// spend takes the cost of a message from the budget, or from the unused budget of gossip, and reports whether it could.
 func (c *Core) spend(env *pb.Envelope) bool {
 	n := float64(proto.Size(env) + gossip.MessageOverhead)
 	switch {
--- a/pkg/loadview/loadview_test.go
+++ b/pkg/loadview/loadview_test.go
@@ -20,8 +20,8 @@
 	"github.com/pollenlug/pollenlug/pkg/membership"
 )
 
-// way is one way to spread loads; each node of a cluster runs one.
-type way interface {
+// protocol is a way to replicate loads; all nodes of a cluster run the same one.
+type protocol interface {
 	simnet.Endpoint
 	Duties() []string
 	Observe(now time.Time, load *pb.WorkerLoad)
@@ -29,76 +29,76 @@
 	running(now time.Time, worker string) (uint32, bool)
 }
 
-// fixedMembers is a view that a test changes by hand.
+// fixedMembers is a membership view that the test sets.
 type fixedMembers struct{ live []membership.Member }
 
 func (f *fixedMembers) Live() []membership.Member { return f.live }
 
-// relayed is the way of the package. Its gossip core only keeps the view of peers.
-type relayed struct {
+// relayNode is the protocol of the package. Its gossip core only maintains the view of peers.
+type relayNode struct {
 	*loadview.Core
 	peers *gossip.Core
 }
 
-func (r *relayed) Tick(now time.Time) []gossip.Message {
+func (r *relayNode) Tick(now time.Time) []gossip.Message {
 	r.peers.Tick(now)
 	return r.Core.Tick(now)
 }
 
-func (r *relayed) running(now time.Time, worker string) (uint32, bool) {
+func (r *relayNode) running(now time.Time, worker string) (uint32, bool) {
 	l, ok := r.Get(now, worker)
 	return l.Running, ok
 }
 
-// pushed is the common part of the two ways that are measured for comparison: each worker has its own observer,
-// and loads travel as one report per observer.
-type pushed struct {
-	node   string
-	duties []string
-	own    map[string]*pb.WorkerLoad
-	known  map[string]uint32
-	next   time.Time
-	sent   string
+// reportNode is the common part of the two protocols that are measured for comparison: each worker has one observer,
+// and loads are sent as one report per observer.
+type reportNode struct {
+	node     string
+	assigned []string
+	polled   map[string]*pb.WorkerLoad
+	known    map[string]uint32
+	next     time.Time
+	sent     string
 }
 
-func (p *pushed) Duties() []string { return p.duties }
+func (p *reportNode) Duties() []string { return p.assigned }
 
-func (p *pushed) Observe(_ time.Time, load *pb.WorkerLoad) { p.own[load.Server] = load }
+func (p *reportNode) Observe(_ time.Time, load *pb.WorkerLoad) { p.polled[load.Server] = load }
 
-func (p *pushed) running(_ time.Time, worker string) (uint32, bool) {
-	if l := p.own[worker]; l != nil {
-		return quantum(l.Running), true
+func (p *reportNode) running(_ time.Time, worker string) (uint32, bool) {
+	if l := p.polled[worker]; l != nil {
+		return quantizedRunning(l.Running), true
 	}
 	n, ok := p.known[worker]
 	return n, ok
 }
 
-// report returns the loads in the same eight bytes per worker as the package's messages.
-func (p *pushed) report() *pb.DomainLoad {
+// report returns the loads in the format of the package's messages, with eight bytes per worker.
+func (p *reportNode) report() *pb.DomainLoad {
 	d := &pb.DomainLoad{}
-	for i, name := range p.duties {
-		if l := p.own[name]; l != nil {
+	for i, name := range p.assigned {
+		if l := p.polled[name]; l != nil {
 			d.Workers = append(d.Workers, uint32(i))
-			d.Loads = append(d.Loads, byte(quantum(l.Running)>>8), byte(quantum(l.Running)), 0, 0)
+			d.Loads = append(d.Loads, byte(quantizedRunning(l.Running)>>8), byte(quantizedRunning(l.Running)), 0, 0)
 		}
 	}
 	return d
 }
 
-// learn takes a report of another observer, whose duties all nodes know.
-func (p *pushed) learn(d *pb.DomainLoad, duties []string) {
+// applyReport applies a report of another observer. All nodes know which workers it observes.
+func (p *reportNode) applyReport(d *pb.DomainLoad, assigned []string) {
 	for i, w := range d.Workers {
-		p.known[duties[w]] = uint32(d.Loads[4*i])<<8 | uint32(d.Loads[4*i+1])
+		p.known[assigned[w]] = uint32(d.Loads[4*i])<<8 | uint32(d.Loads[4*i+1])
 	}
 }
 
-// mesh sends a heartbeat with the loads to every node each second, without a budget.
-type mesh struct {
-	pushed
+// meshNode sends a heartbeat with the loads to every node each second, without a traffic budget.
+type meshNode struct {
+	reportNode
 	c *cluster
 }
 
-func (m *mesh) Tick(now time.Time) []gossip.Message {
+func (m *meshNode) Tick(now time.Time) []gossip.Message {
 	if now.Before(m.next) {
 		return nil
 	}
@@ -113,19 +113,19 @@
 	return out
 }
 
-func (m *mesh) Handle(_ time.Time, from string, env *pb.Envelope) []gossip.Message {
-	m.learn(env.GetLoadDelta().Domains[0], m.c.ways[from].Duties())
+func (m *meshNode) Handle(_ time.Time, from string, env *pb.Envelope) []gossip.Message {
+	m.applyReport(env.GetLoadDelta().Domains[0], m.c.nodes[from].Duties())
 	return nil
 }
 
-// epidemic writes a gossip item per observer when a load has changed, at most every two seconds.
-type epidemic struct {
-	pushed
+// gossipNode writes a gossip item per observer when a load has changed, at most every two seconds.
+type gossipNode struct {
+	reportNode
 	c *cluster
 	g *gossip.Core
 }
 
-func (e *epidemic) Tick(now time.Time) []gossip.Message {
+func (e *gossipNode) Tick(now time.Time) []gossip.Message {
 	value, err := proto.Marshal(e.report())
 	if err == nil && string(value) != e.sent && !now.Before(e.next) {
 		e.next, e.sent = now.Add(2*time.Second), string(value)
@@ -134,12 +134,12 @@
 	return e.g.Tick(now)
 }
 
-func (e *epidemic) Handle(now time.Time, from string, env *pb.Envelope) []gossip.Message {
+func (e *gossipNode) Handle(now time.Time, from string, env *pb.Envelope) []gossip.Message {
 	return e.g.Handle(now, from, env)
 }
 
-// quantum is the quantized number of running requests, as the package has it.
-func quantum(running uint32) uint32 {
+// quantizedRunning returns the quantized number of running requests, like the package.
+func quantizedRunning(running uint32) uint32 {
 	last := uint32(0)
 	for n := uint32(1); n <= running; {
 		last = n
@@ -155,38 +155,38 @@
 	return last
 }
 
-// polled is a worker's true number of running requests from a time on.
-type polled struct {
+// trueLoad is the true number of running requests of a worker from a time on.
+type trueLoad struct {
 	at      time.Time
 	running uint32
 }
 
-// within reports whether a known, quantized number is right: the true one lies within its step, widened by the
+// matchesLevel reports whether a known, quantized number is correct: the true one lies within its level, widened by the
 // margin of a tenth that the package uses.
-func within(known, running uint32) bool {
+func matchesLevel(known, running uint32) bool {
 	next := known + 1
-	for quantum(next) == known {
+	for quantizedRunning(next) == known {
 		next++
 	}
 	return 10*running >= 9*known && 10*running < 11*next
 }
 
-// cluster simulates nodes and workers in six failure domains of two regions.
+// cluster simulates nodes and workers in two regions with three failure domains each.
 type cluster struct {
 	net     *simnet.Net
 	peers   []gossip.Peer
 	members *fixedMembers
 	workers []loadview.Worker
-	ways    map[string]way
-	truth   map[string][]polled
-	load    map[string]float64
-	// changes counts changes of the quantized number, without the margin.
-	changes int
+	nodes   map[string]protocol
+	history map[string][]trueLoad
+	loads   map[string]float64
+	// levelChanges counts the changes of quantized numbers, without the margin.
+	levelChanges int
 }
 
 func newCluster(nodes, workers int, seed uint64, kind string) *cluster {
-	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, ways: map[string]way{}, truth: map[string][]polled{},
-		load: map[string]float64{}}
+	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, nodes: map[string]protocol{}, history: map[string][]trueLoad{},
+		loads: map[string]float64{}}
 	place := func(i int) (region, domain string) {
 		return fmt.Sprintf("r%d", i%2), fmt.Sprintf("r%d-d%d", i%2, i/2%3)
 	}
@@ -208,86 +208,86 @@
 		}
 		return time.Millisecond
 	}
-	duties := map[string][]string{}
+	assigned := map[string][]string{}
 	for _, w := range c.workers {
 		o := membership.RendezvousInside(w.Name, c.members.live, 1, w.FailureDomain)[0].Node
-		duties[o] = append(duties[o], w.Name)
+		assigned[o] = append(assigned[o], w.Name)
 	}
 	for i, p := range c.peers {
 		g := gossip.NewCore(gossip.Config{Node: p.Node, Region: p.Region, Incarnation: 1, BytesPerSecond: 5500,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
 		g.SetPeers(c.peers)
-		base := pushed{node: p.Node, duties: duties[p.Node], own: map[string]*pb.WorkerLoad{}, known: map[string]uint32{}}
+		base := reportNode{node: p.Node, assigned: assigned[p.Node], polled: map[string]*pb.WorkerLoad{}, known: map[string]uint32{}}
 		switch kind {
 		case "mesh":
-			c.ways[p.Node] = &mesh{base, c}
+			c.nodes[p.Node] = &meshNode{base, c}
 		case "epidemic":
-			e := &epidemic{base, c, g}
+			e := &gossipNode{base, c, g}
 			g.Watch("load/", func(item *pb.GossipItem) {
 				d := &pb.DomainLoad{}
 				from := strings.TrimPrefix(item.Key, "load/")
 				if proto.Unmarshal(item.Value, d) == nil && from != e.node {
-					e.learn(d, duties[from])
+					e.applyReport(d, assigned[from])
 				}
 			})
-			c.ways[p.Node] = e
+			c.nodes[p.Node] = e
 		default:
 			core := loadview.NewCore(loadview.Config{Node: p.Node, FailureDomain: p.FailureDomain,
 				Rand: rand.New(rand.NewPCG(seed, uint64(i)+1000))}, g, c.members)
 			core.SetWorkers(c.workers)
-			c.ways[p.Node] = &relayed{core, g}
+			c.nodes[p.Node] = &relayNode{core, g}
 		}
-		c.net.Start(p.Node, c.ways[p.Node])
+		c.net.Start(p.Node, c.nodes[p.Node])
 	}
 	for _, w := range c.workers {
-		c.load[w.Name] = 8 + 40*c.net.Rand.Float64()
+		c.loads[w.Name] = 8 + 40*c.net.Rand.Float64()
 	}
 	c.poll()
 	return c
 }
 
-// poll moves every load and lets the observers poll, every 500 ms.
+// poll changes every load at random and lets the observers poll, every 500 ms.
 func (c *cluster) poll() {
 	now := c.net.Now()
 	for _, w := range c.workers {
-		x := c.load[w.Name] * (1 + 0.1*c.net.Rand.NormFloat64())
-		c.load[w.Name] = min(max(x, 2), 120)
-		running := uint32(c.load[w.Name])
-		h := c.truth[w.Name]
-		if len(h) > 0 && quantum(h[len(h)-1].running) != quantum(running) {
-			c.changes++
+		x := c.loads[w.Name] * (1 + 0.1*c.net.Rand.NormFloat64())
+		c.loads[w.Name] = min(max(x, 2), 120)
+		running := uint32(c.loads[w.Name])
+		h := c.history[w.Name]
+		if len(h) > 0 && quantizedRunning(h[len(h)-1].running) != quantizedRunning(running) {
+			c.levelChanges++
 		}
-		c.truth[w.Name] = append(h, polled{now, running})
+		c.history[w.Name] = append(h, trueLoad{now, running})
 	}
 	for _, p := range c.peers {
-		for _, name := range c.ways[p.Node].Duties() {
-			c.ways[p.Node].Observe(now, &pb.WorkerLoad{Server: name, Running: uint32(c.load[name]), CachePercent: 50, StepUs: 30000})
+		for _, name := range c.nodes[p.Node].Duties() {
+			c.nodes[p.Node].Observe(now, &pb.WorkerLoad{Server: name, Running: uint32(c.loads[name]), CachePercent: 50, StepUs: 30000})
 		}
 	}
 	c.net.At(500*time.Millisecond, c.poll)
 }
 
-// staleness returns for how long what the node knows of the worker has not been true; unknown is false for a
-// worker that it does not know.
+// staleness returns the time since the load that the node knows of the worker was last correct; known is false when
+// the node knows no load of the worker.
 func (c *cluster) staleness(node, worker string) (stale time.Duration, known bool) {
-	running, ok := c.ways[node].running(c.net.Now(), worker)
-	h := c.truth[worker]
-	if !ok || within(running, h[len(h)-1].running) {
+	running, ok := c.nodes[node].running(c.net.Now(), worker)
+	h := c.history[worker]
+	if !ok || matchesLevel(running, h[len(h)-1].running) {
 		return 0, ok
 	}
 	for i := len(h) - 2; i >= 0; i-- {
-		if within(running, h[i].running) {
+		if matchesLevel(running, h[i].running) {
 			return c.net.Now().Sub(h[i+1].at), true
 		}
 	}
 	return c.net.Now().Sub(h[0].at), true
 }
 
-// result is one row of the table.
+// result is one row of the printed table.
 type result struct {
 	p50, p90, p99, max time.Duration
 	outdated           float64
-	sent, most         float64 // bytes/s of a node, mean and maximum, sent and received
+	sent, maxRate      float64 // bytes/s of a node: mean sent, and maximum sent or received
 	cpu                time.Duration
 	messages           uint64
 }
@@ -302,10 +302,10 @@
 	outdated := 0
 	var cpu time.Duration
 	for end := c.net.Now().Add(d); c.net.Now().Before(end); {
-		begun := time.Now()
-		// Samples are not in step with the polls.
+		start := time.Now()
+		// The period differs from that of the polls, so that samples are taken at varying times after a poll.
 		c.net.Run(970 * time.Millisecond)
-		cpu += time.Since(begun)
+		cpu += time.Since(start)
 		for i := 0; i < len(c.peers); i += max(1, len(c.peers)/40) { // 40 nodes or a little more
 			for _, w := range c.workers {
 				s, known := c.staleness(c.peers[i].Node, w.Name)
@@ -327,14 +327,14 @@
 		sent := float64(t.SentBytes-before[p.Node].SentBytes) / d.Seconds()
 		received := float64(t.ReceivedBytes-before[p.Node].ReceivedBytes) / d.Seconds()
 		r.sent += sent / float64(len(c.peers))
-		r.most = max(r.most, sent, received)
+		r.maxRate = max(r.maxRate, sent, received)
 		r.messages += t.ReceivedMessages - before[p.Node].ReceivedMessages
 	}
 	return r
 }
 
-// TestMeasureWays prints the table of docs/measurements-gossip.md; POLLENLUG_MEASURE=1 gives it in full size.
-func TestMeasureWays(t *testing.T) {
+// TestMeasureProtocols prints the table of docs/measurements-gossip.md; POLLENLUG_MEASURE=1 runs it for all its sizes.
+func TestMeasureProtocols(t *testing.T) {
 	sizes, workers, d := []int{10, 50}, 100, 10*time.Second
 	if os.Getenv("POLLENLUG_MEASURE") != "" {
 		sizes, workers, d = []int{10, 50, 100, 200, 400}, 640, 30*time.Second
@@ -342,20 +342,20 @@
 	for _, kind := range []string{"mesh", "epidemic", "relay"} {
 		t.Run(kind, func(t *testing.T) {
 			for _, n := range sizes {
-				measureWay(t, kind, n, workers, d)
+				measureProtocol(t, kind, n, workers, d)
 			}
 		})
 	}
 }
 
-func measureWay(t *testing.T, kind string, nodes, workers int, d time.Duration) {
+func measureProtocol(t *testing.T, kind string, nodes, workers int, d time.Duration) {
 	c := newCluster(nodes, workers, 1, kind)
 	r := c.measure(20*time.Second, d)
 	t.Logf("| %s | %d | %v | %v | %v | %v | %.1f%% | %.0f | %.0f | %.1f us per message (%.0f changes/s)", kind, nodes, r.p50, r.p90, r.p99, r.max,
-		100*r.outdated, r.sent, r.most, float64(r.cpu.Microseconds())/float64(max(r.messages, 1)), float64(c.changes)/c.net.Now().Sub(simnet.Epoch).Seconds())
+		100*r.outdated, r.sent, r.maxRate, float64(r.cpu.Microseconds())/float64(max(r.messages, 1)), float64(c.levelChanges)/c.net.Now().Sub(simnet.Epoch).Seconds())
 }
 
-// TestMeasureSlopes prints memory per node and CPU per message for docs/CAPACITY.md.
+// TestMeasureSlopes prints the memory per node for docs/CAPACITY.md.
 func TestMeasureSlopes(t *testing.T) {
 	sizes, workers := []int{10, 50}, 100
 	if os.Getenv("POLLENLUG_MEASURE") != "" {
@@ -374,16 +374,16 @@
 	}
 }
 
-// Guards against loads that grow old at any size, and against a node that spends more than its part of the budget.
+// Guards against loads that become stale, and against a node that sends more than its budget.
 func TestLoadsAreFreshWithinTheBudget(t *testing.T) {
 	c := newCluster(60, 120, 2, "relay")
 	r := c.measure(20*time.Second, 20*time.Second)
 	assert.Assert(t, r.p99 <= 6*time.Second, "p99 %v", r.p99)
-	assert.Assert(t, r.most <= loadview.DefaultBytesPerSecond, "%.0f bytes/s", r.most)
+	assert.Assert(t, r.maxRate <= loadview.DefaultBytesPerSecond, "%.0f bytes/s", r.maxRate)
 }
 
-// Guards against loads that freeze when the relay or an observer dies, and against lasting claims about workers
-// that nobody observes.
+// Guards against loads that are no longer updated after the relay or an observer dies, and against workers that stay
+// flagged as unobserved.
 func TestRelayAndObserversAreReplaced(t *testing.T) {
 	c := newCluster(30, 60, 3, "relay")
 	c.net.Run(15 * time.Second)
@@ -394,11 +394,11 @@
 		c.members.live = slices.DeleteFunc(slices.Clone(c.members.live), func(m membership.Member) bool { return m.Node == gone })
 		c.peers = slices.DeleteFunc(slices.Clone(c.peers), func(p gossip.Peer) bool { return p.Node == gone })
 		for _, p := range c.peers {
-			c.ways[p.Node].(*relayed).peers.SetPeers(c.peers)
+			c.nodes[p.Node].(*relayNode).peers.SetPeers(c.peers)
 		}
 		c.net.Run(20 * time.Second)
 		for _, p := range c.peers {
-			for name, l := range c.ways[p.Node].(*relayed).View(c.net.Now()) {
+			for name, l := range c.nodes[p.Node].(*relayNode).View(c.net.Now()) {
 				assert.Assert(t, !l.Unobserved && l.Age < 10*time.Second, "%s sees %s with age %v", p.Node, name, l.Age)
 			}
 			for _, w := range c.workers {
@@ -409,13 +409,13 @@
 	}
 }
 
-// Guards against malformed messages of a peer.
+// Guards against malformed messages from a peer that make the core panic or answer.
 func TestMalformedMessagesAreIgnored(t *testing.T) {
 	c := newCluster(10, 20, 4, "relay")
 	for _, d := range []*pb.DomainLoad{nil, {}, {Version: &pb.LoadVersion{Term: 1, Sequence: 1}, Workers: []uint32{1}},
 		{Version: &pb.LoadVersion{Term: 1, Sequence: 1}, Workers: []uint32{1}, Loads: []byte{255, 255, 255, 255}, Ages: []byte{0}, Back: []uint32{9}}} {
 		env := &pb.Envelope{Body: &pb.Envelope_LoadDelta{LoadDelta: &pb.LoadDelta{Domains: []*pb.DomainLoad{d}}}}
-		assert.Equal(t, len(c.ways["n000"].Handle(c.net.Now(), "n001", env)), 0)
+		assert.Equal(t, len(c.nodes["n000"].Handle(c.net.Now(), "n001", env)), 0)
 	}
 	c.net.Run(time.Second)
 }
--- a/pkg/loadview/runner.go
+++ b/pkg/loadview/runner.go
@@ -12,48 +12,48 @@
 const (
 	// tickPeriod is the time between two ticks of the core.
 	tickPeriod = 100 * time.Millisecond
-	// PollPeriod is the time between two polls of a worker, pollTimeout bounds one poll.
+	// PollPeriod is the time between two polls of a worker; pollTimeout bounds one poll.
 	PollPeriod  = 500 * time.Millisecond
 	pollTimeout = 400 * time.Millisecond
-	// maxPolls bounds the polls in progress.
+	// maxPolls bounds the number of polls in progress.
 	maxPolls = 32
-	// missesUntilUnreachable is the number of failed polls in a row after which a worker counts as unreachable; a
-	// single poll may be lost.
-	missesUntilUnreachable = 2
+	// failuresUntilUnreachable is the number of consecutive failed polls after which a worker counts as unreachable; a
+	// single poll may get lost.
+	failuresUntilUnreachable = 2
 )
 
-// Sender sends messages without an answer; internal/transport satisfies it.
+// Sender sends one-way messages; internal/transport implements it.
 type Sender interface {
 	Send(addr string, env *pb.Envelope)
 }
 
-// Poll asks a worker for its load.
+// Poll queries a worker for its load.
 type Poll func(ctx context.Context, worker string) (*pb.WorkerLoad, error)
 
 // Runner drives a Core with the clock and polls the workers that this node observes.
 type Runner struct {
 	*Core
-	sender Sender
-	poll   Poll
-	slots  chan struct{}
+	sender    Sender
+	poll      Poll
+	pollSlots chan struct{}
 
-	mu     sync.Mutex
-	polled map[string]*polled
+	mu    sync.Mutex
+	polls map[string]*pollState
 }
 
-// polled is the polling state of one worker.
-type polled struct {
-	busy   bool
-	misses int
-	last   *pb.WorkerLoad
+// pollState is the polling state of one worker.
+type pollState struct {
+	inProgress bool
+	failures   int
+	last       *pb.WorkerLoad
 }
 
-// NewRunner returns a runner; Run starts it.
+// NewRunner returns a Runner; Run starts it.
 func NewRunner(core *Core, sender Sender, poll Poll) *Runner {
-	return &Runner{Core: core, sender: sender, poll: poll, slots: make(chan struct{}, maxPolls), polled: map[string]*polled{}}
+	return &Runner{Core: core, sender: sender, poll: poll, pollSlots: make(chan struct{}, maxPolls), polls: map[string]*pollState{}}
 }
 
-// Run ticks and polls until the context ends.
+// Run ticks the core and polls the workers until the context is done.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
@@ -74,55 +74,56 @@
 
 // pollAll starts a poll of each worker that has none in progress.
 func (r *Runner) pollAll(ctx context.Context) {
-	duties := r.Core.Duties()
+	workers := r.Core.Duties()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	next := make(map[string]*polled, len(duties))
-	for _, worker := range duties {
-		p := r.polled[worker]
+	next := make(map[string]*pollState, len(workers))
+	for _, worker := range workers {
+		p := r.polls[worker]
 		if p == nil {
-			p = &polled{}
+			p = &pollState{}
 		}
 		next[worker] = p
-		if p.busy {
+		if p.inProgress {
 			continue
 		}
 		select {
-		case r.slots <- struct{}{}:
+		case r.pollSlots <- struct{}{}:
 		default:
-			continue // polls are slow; this worker is polled in the next round
+			continue // maxPolls are in progress; this worker is polled in the next round
 		}
-		p.busy = true
+		p.inProgress = true
 		go r.pollOne(ctx, worker, p)
 	}
-	r.polled = next
+	r.polls = next
 }
 
-// pollOne polls a worker and records the result; a worker that does not answer keeps its last load and is flagged.
-func (r *Runner) pollOne(ctx context.Context, worker string, p *polled) {
-	defer func() { <-r.slots }()
+// pollOne polls a worker and records the result. After failuresUntilUnreachable failures the worker is flagged as
+// unreachable and keeps its last load.
+func (r *Runner) pollOne(ctx context.Context, worker string, p *pollState) {
+	defer func() { <-r.pollSlots }()
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load, err := r.poll(ctx, worker)
 	r.mu.Lock()
-	p.busy = false
+	p.inProgress = false
 	if err == nil {
-		p.misses, p.last = 0, load
+		p.failures, p.last = 0, load
 	} else {
-		p.misses++
+		p.failures++
 		load = &pb.WorkerLoad{Server: worker, Unreachable: true}
 		if p.last != nil {
 			load.Running, load.Waiting, load.CachePercent, load.StepUs = p.last.Running, p.last.Waiting, p.last.CachePercent, p.last.StepUs
 		}
 	}
-	report := err == nil || p.misses >= missesUntilUnreachable
+	report := err == nil || p.failures >= failuresUntilUnreachable
 	r.mu.Unlock()
 	if report {
 		r.Core.Observe(time.Now(), load)
 	}
 }
 
-// Receive handles a message from a peer and sends the answers.
+// Receive handles a message from a peer and sends the replies.
 func (r *Runner) Receive(from string, env *pb.Envelope) {
 	r.send(r.Core.Handle(time.Now(), from, env))
 }
--- a/pkg/loadview/spread.go
+++ b/pkg/loadview/spread.go
@@ -10,7 +10,7 @@
 	"github.com/pollenlug/pollenlug/pkg/membership"
 )
 
-// Tick does what is due at now and returns the messages to send.
+// Tick runs the tasks that are due and returns the messages to send.
 func (c *Core) Tick(now time.Time) []gossip.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Handle takes a message from a peer and returns the messages to send. Other kinds are ignored.
+// Handle processes a message from a peer and returns the messages to send. Messages of other packages are ignored.
 func (c *Core) Handle(now time.Time, from string, env *pb.Envelope) []gossip.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,17 +53,17 @@
 	return nil
 }
 
-// report sends the changed loads of this node's workers to their relays, or all of them every fullPeriod.
+// report sends the changed loads of the workers that this node observes to their relays; every fullPeriod it sends all.
 func (c *Core) report(now time.Time) []gossip.Message {
 	full := due(&c.nextFull, now, fullPeriod)
 	reports := map[uint32]*pb.DomainLoad{}
-	for _, id := range slices.Sorted(maps.Keys(c.observed)) {
-		o := c.observed[id]
-		waits := now.Sub(o.sentAt) < changePeriod && !o.load.jumped(o.sent)
-		if !full && (waits || !o.load.differs(o.running, o.sent)) {
+	for _, id := range slices.Sorted(maps.Keys(c.observations)) {
+		o := c.observations[id]
+		mustWait := now.Sub(o.sentAt) < changePeriod && !o.load.jumped(o.sent)
+		if !full && (mustWait || !o.load.needsReport(o.running, o.sent)) {
 			continue
 		}
-		if o.sentAt.IsZero() || o.load.differs(o.running, o.sent) {
+		if o.sentAt.IsZero() || o.load.needsReport(o.running, o.sent) {
 			o.sent, o.sentAt = o.load, now
 		}
 		r := reports[o.domain]
@@ -71,13 +71,13 @@
 			r = &pb.DomainLoad{Version: &pb.LoadVersion{Domain: o.domain}}
 			reports[o.domain] = r
 		}
-		add(r, now, id, o.sent, o.observed)
+		appendLoad(r, now, id, o.sent, o.observed)
 	}
 	var out []gossip.Message
 	for _, id := range slices.Sorted(maps.Keys(reports)) {
 		relay := c.relays[id]
 		if relay == c.cfg.Node {
-			c.number(now, reports[id])
+			c.sequenceReport(now, reports[id])
 			continue
 		}
 		out = append(out, c.send(relay, &pb.LoadDelta{Domains: []*pb.DomainLoad{reports[id]}})...)
@@ -85,18 +85,18 @@
 	return out
 }
 
-// add appends a worker to a message.
-func add(d *pb.DomainLoad, now time.Time, id uint32, load quantized, observed time.Time) {
+// appendLoad appends the load of a worker to a message.
+func appendLoad(d *pb.DomainLoad, now time.Time, id uint32, load quantized, observed time.Time) {
 	d.Workers = append(d.Workers, id)
 	d.Loads = append(d.Loads, load[:]...)
-	d.Ages = append(d.Ages, byte(min(tenths(now.Sub(observed)), maxAge)))
+	d.Ages = append(d.Ages, byte(min(tenths(now.Sub(observed)), maxAgeTenths)))
 }
 
 func tenths(d time.Duration) uint32 {
 	return uint32(max(d, 0) / (100 * time.Millisecond))
 }
 
-// send returns a message to a live node when the budget allows it.
+// send returns a message to a live node, or nothing when there is nothing to send or the budget is spent.
 func (c *Core) send(node string, delta *pb.LoadDelta) []gossip.Message {
 	m, ok := c.byNode[node]
 	env := &pb.Envelope{Body: &pb.Envelope_LoadDelta{LoadDelta: delta}}
@@ -110,8 +110,9 @@
 	return gossip.Peer{Node: m.Node, Region: m.Region, FailureDomain: m.FailureDomain, Addr: m.NodeAddr}
 }
 
-// domain returns the state of a failure domain.
-func (c *Core) domain(id uint32) *domain {
+// domainState returns the state of a failure domain and creates it if needed. It returns nil for a new domain when
+// maxDomains are stored.
+func (c *Core) domainState(id uint32) *domain {
 	d := c.domains[id]
 	if d == nil && len(c.domains) < maxDomains {
 		d = &domain{workers: map[uint32]*state{}}
@@ -120,41 +121,42 @@
 	return d
 }
 
-// number gives the changes of a report their sequences; only the relay does this. A new relay starts a term by its
-// clock, above any term it has seen.
-func (c *Core) number(now time.Time, report *pb.DomainLoad) {
+// sequenceReport applies a report at the relay and gives its changes their sequence numbers. A new relay starts a term
+// above any that it has seen, numbered by its clock.
+func (c *Core) sequenceReport(now time.Time, report *pb.DomainLoad) {
 	id := report.Version.Domain
-	d := c.domain(id)
+	d := c.domainState(id)
 	if d == nil || !wellFormed(report) {
 		return
 	}
-	if !c.relaying(id) {
+	if !c.isRelay(id) {
 		d.term, d.sequence = max(d.term+1, uint64(now.UnixMilli())), 0
 		for _, worker := range slices.Sorted(maps.Keys(d.workers)) {
 			d.sequence++
 			d.workers[worker].sequence = d.sequence
 		}
 		for worker := range d.workers {
-			c.reports[worker] = now
+			c.lastReports[worker] = now
 		}
-		c.terms[id] = d.term
+		c.relayTerms[id] = d.term
 	}
 	for i, worker := range report.Workers {
-		c.reports[worker] = now
-		c.change(now, d, worker, quantized(report.Loads[4*i:4*i+4]), now.Add(-age(report.Ages[i])))
+		c.lastReports[worker] = now
+		c.setLoad(now, d, worker, quantized(report.Loads[4*i:4*i+4]), now.Add(-ageOf(report.Ages[i])))
 	}
 }
 
-// relaying reports whether the term in force is one that this node started.
-func (c *Core) relaying(id uint32) bool {
+// isRelay reports whether this node started the domain's current term.
+func (c *Core) isRelay(id uint32) bool {
 	d := c.domains[id]
-	return d != nil && d.term > 0 && c.terms[id] == d.term
+	return d != nil && d.term > 0 && c.relayTerms[id] == d.term
 }
 
-func age(tenths byte) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
+func ageOf(tenths byte) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
 
-// change records a numbered change; an equal load only becomes fresher.
-func (c *Core) change(now time.Time, d *domain, worker uint32, load quantized, observed time.Time) {
+// setLoad stores the load of a worker, under the next sequence number if it changed. An unchanged load only becomes
+// newer.
+func (c *Core) setLoad(now time.Time, d *domain, worker uint32, load quantized, observed time.Time) {
 	s := d.workers[worker]
 	if s == nil {
 		if len(d.workers) >= maxWorkers {
@@ -171,21 +173,21 @@
 	d.asOf = now
 }
 
-// push renews the versions of the domains that this node relays and sends new changes to a few peers.
+// push confirms the versions of the domains that this node relays, and sends new changes to a few random peers.
 func (c *Core) push(now time.Time) []gossip.Message {
 	var out []gossip.Message
 	for _, id := range slices.Sorted(maps.Keys(c.domains)) {
-		if c.relays[id] != c.cfg.Node || !c.relaying(id) {
+		if c.relays[id] != c.cfg.Node || !c.isRelay(id) {
 			continue
 		}
 		d := c.domains[id]
-		c.unobserved(now, d)
+		c.flagUnobservedWorkers(now, d)
 		d.asOf = now
-		after := c.pushed[id]
+		after := c.pushedVersions[id]
 		if after.term != d.term {
 			after.sequence = 0
 		}
-		c.pushed[id] = version{d.term, d.sequence}
+		c.pushedVersions[id] = version{d.term, d.sequence}
 		if after.sequence == d.sequence {
 			continue
 		}
@@ -198,19 +200,19 @@
 	return out
 }
 
-// unobserved flags workers without a report.
-func (c *Core) unobserved(now time.Time, d *domain) {
+// flagUnobservedWorkers flags workers that have had no report for unobservedAfter.
+func (c *Core) flagUnobservedWorkers(now time.Time, d *domain) {
 	for _, worker := range slices.Sorted(maps.Keys(d.workers)) {
 		s := d.workers[worker]
-		if now.Sub(c.reports[worker]) > unobservedAfter && s.load[2]&flagUnobserved == 0 {
+		if now.Sub(c.lastReports[worker]) > unobservedAfter && s.load[2]&flagUnobserved == 0 {
 			load := s.load
 			load[2] |= flagUnobserved
-			c.change(now, d, worker, load, s.observed)
+			c.setLoad(now, d, worker, load, s.observed)
 		}
 	}
 }
 
-// pull asks one peer for what changed.
+// pull asks one random peer of the gossip view for changes.
 func (c *Core) pull() []gossip.Message {
 	peers := c.peers.View()
 	if len(peers) == 0 {
@@ -229,16 +231,17 @@
 	return []gossip.Message{{To: p, Env: env}}
 }
 
-// answer sends what the peer lacks.
+// answer sends the changes that the peer lacks, as far as they fit into one message.
 func (c *Core) answer(now time.Time, from string, digest *pb.LoadDigest) []gossip.Message {
 	return c.send(from, c.delta(now, digest.Versions, slices.Sorted(maps.Keys(c.domains))...))
 }
 
-// delta collects the workers of the domains that changed after the versions, oldest changes first, up to the size
-// of a message. A domain that is cut short ends at the version of its last change.
+// delta collects the workers of the domains that changed after the versions, oldest changes first, up to the size of a
+// message. A truncated domain has the version of the last change in it. The first domain is random, so that none is
+// always truncated.
 func (c *Core) delta(now time.Time, have []*pb.LoadVersion, ids ...uint32) *pb.LoadDelta {
 	out := &pb.LoadDelta{}
-	room := maxMessage / workerBytes
+	remaining := maxMessage / workerBytes
 	first := 0
 	if len(ids) > 0 {
 		first = c.cfg.Rand.IntN(len(ids))
@@ -255,19 +258,19 @@
 				after = v.Sequence
 			}
 		}
-		if d.term == 0 || after > d.sequence || room <= 0 {
+		if d.term == 0 || after > d.sequence || remaining <= 0 {
 			continue
 		}
-		// Without changes, the answer still tells how fresh the version is.
-		m := d.since(now, id, after, room)
-		room -= len(m.Workers) + 2
+		// An answer without changes still confirms the age of the version.
+		m := d.changesSince(now, id, after, remaining)
+		remaining -= len(m.Workers) + 2
 		out.Domains = append(out.Domains, m)
 	}
 	return out
 }
 
-// since returns up to limit workers that changed after a sequence.
-func (d *domain) since(now time.Time, id uint32, after uint64, limit int) *pb.DomainLoad {
+// changesSince returns up to limit workers that changed after a sequence number, oldest changes first.
+func (d *domain) changesSince(now time.Time, id uint32, after uint64, limit int) *pb.DomainLoad {
 	var changed []uint32
 	for worker, s := range d.workers {
 		if s.sequence > after {
@@ -283,30 +286,30 @@
 	m := &pb.DomainLoad{Version: &pb.LoadVersion{Domain: id, Term: d.term, Sequence: last}, After: after, Age: tenths(now.Sub(d.asOf))}
 	for _, worker := range changed {
 		s := d.workers[worker]
-		add(m, now, worker, s.load, s.observed)
+		appendLoad(m, now, worker, s.load, s.observed)
 		m.Back = append(m.Back, uint32(last-s.sequence))
 	}
 	return m
 }
 
-// wellFormed reports whether the lists of a message fit together.
+// wellFormed reports whether the lists of a message have matching lengths.
 func wellFormed(d *pb.DomainLoad) bool {
 	return d != nil && d.Version != nil && len(d.Workers) <= maxWorkers && len(d.Loads) == 4*len(d.Workers) &&
 		len(d.Ages) == len(d.Workers)
 }
 
-// apply takes a report of an observer or a delta of a peer.
+// apply applies a report of an observer, which has no term, or a delta of a peer.
 func (c *Core) apply(now time.Time, m *pb.DomainLoad) {
 	if !wellFormed(m) {
 		return
 	}
 	if m.Version.Term == 0 {
 		if c.relays[m.Version.Domain] == c.cfg.Node {
-			c.number(now, m)
+			c.sequenceReport(now, m)
 		}
 		return
 	}
-	d := c.domain(m.Version.Domain)
+	d := c.domainState(m.Version.Domain)
 	if d == nil || len(m.Back) != len(m.Workers) || m.Version.Term < d.term {
 		return
 	}
@@ -334,8 +337,8 @@
 		}
 		s.load = quantized(m.Loads[4*i : 4*i+4])
 		s.sequence = m.Version.Sequence - back
-		s.observed = now.Add(-age(m.Ages[i]))
+		s.observed = now.Add(-ageOf(m.Ages[i]))
 	}
 	d.sequence = m.Version.Sequence
-	d.asOf = later(d.asOf, now.Add(-time.Duration(m.Age)*100*time.Millisecond))
+	d.asOf = laterTime(d.asOf, now.Add(-time.Duration(m.Age)*100*time.Millisecond))
 }
