--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -1,5 +1,5 @@
-// Package simnet runs the deterministic cores of many nodes in one process in virtual time, for tests and
-// measurements. Runs with the same seed have the same course.
+// Package simnet simulates a network of many nodes in one process and in virtual time, for tests and measurements. It
+// runs the deterministic cores of the nodes; runs with the same seed are identical.
 package simnet
 
 import (
@@ -12,45 +12,45 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Epoch is the virtual time at which every run starts.
+// Epoch is the virtual time at which every simulation starts.
 var Epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Endpoint is the deterministic part of one node.
+// Endpoint is the deterministic core of one node. Both methods return the messages to send.
 type Endpoint interface {
 	Tick(now time.Time) []gossip.Message
 	Handle(now time.Time, from string, env *pb.Envelope) []gossip.Message
 }
 
-// Traffic is what one node sent and received, with gossip.MessageOverhead per message.
+// Traffic counts what one node sent and received, with gossip.MessageOverhead per message.
 type Traffic struct {
 	SentMessages, SentBytes, ReceivedMessages, ReceivedBytes uint64
 }
 
-// Net delivers messages between endpoints.
+// Net delivers messages between endpoints. It is not safe for concurrent use.
 type Net struct {
-	// Rand is the only source of chance.
+	// Rand is the only source of randomness.
 	Rand *rand.Rand
 	// Delay returns the one-way delay between two nodes; nil means 1 ms.
 	Delay func(from, to string) time.Duration
-	// Drop reports whether a message is lost; nil means that none is.
+	// Drop reports whether a message between two nodes is lost; nil means that none is.
 	Drop func(from, to string) bool
-	// TickEvery is the period of ticks.
+	// TickEvery is the time between two ticks of a node.
 	TickEvery time.Duration
-	// Sent is called for each message that a node sends; nil to ignore.
+	// Sent, if set, is called for each message that a node sends.
 	Sent func(from string, m gossip.Message)
 
-	now     time.Time
-	queue   events
-	serial  uint64
-	nodes   map[string]Endpoint
-	life    map[string]int // counts starts and stops, so that events of an earlier life are dropped
-	traffic map[string]*Traffic
+	now          time.Time
+	queue        events
+	lastSequence uint64
+	nodes        map[string]Endpoint
+	generation   map[string]int // counts starts and stops of a node; ticks scheduled before the last one are dropped
+	traffic      map[string]*Traffic
 }
 
 type event struct {
-	at     time.Time
-	serial uint64
-	run    func()
+	at       time.Time
+	sequence uint64
+	run      func()
 }
 
 type events []event
@@ -60,7 +60,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].serial < e[j].serial
+	return e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -75,48 +75,48 @@
 	return last
 }
 
-// New returns an empty network.
+// New returns a network without nodes.
 func New(seed uint64) *Net {
 	return &Net{Rand: rand.New(rand.NewPCG(seed, 1)), TickEvery: 100 * time.Millisecond, now: Epoch,
-		nodes: map[string]Endpoint{}, life: map[string]int{}, traffic: map[string]*Traffic{}}
+		nodes: map[string]Endpoint{}, generation: map[string]int{}, traffic: map[string]*Traffic{}}
 }
 
 // Now returns the virtual time.
 func (n *Net) Now() time.Time { return n.now }
 
-// At runs f at a time after the present.
+// At schedules f to run after the given virtual time.
 func (n *Net) At(after time.Duration, f func()) {
-	n.serial++
-	heap.Push(&n.queue, event{n.now.Add(after), n.serial, f})
+	n.lastSequence++
+	heap.Push(&n.queue, event{n.now.Add(after), n.lastSequence, f})
 }
 
-// Start adds a node, which ticks from a random part of the tick period on. A node of the same name is replaced.
+// Start adds a node, which first ticks after a random part of the tick period. A node of the same name is replaced.
 func (n *Net) Start(node string, e Endpoint) {
 	n.nodes[node] = e
-	n.life[node]++
+	n.generation[node]++
 	if n.traffic[node] == nil {
 		n.traffic[node] = &Traffic{}
 	}
-	n.tick(node, n.life[node], time.Duration(n.Rand.Int64N(int64(n.TickEvery))))
+	n.tick(node, n.generation[node], time.Duration(n.Rand.Int64N(int64(n.TickEvery))))
 }
 
-// Stop ends a node without notice.
+// Stop removes a node without notice to the others, as in a crash.
 func (n *Net) Stop(node string) {
 	delete(n.nodes, node)
-	n.life[node]++
+	n.generation[node]++
 }
 
-func (n *Net) tick(node string, life int, after time.Duration) {
+func (n *Net) tick(node string, generation int, after time.Duration) {
 	n.At(after, func() {
-		if n.life[node] != life {
+		if n.generation[node] != generation {
 			return
 		}
 		n.Send(node, n.nodes[node].Tick(n.now))
-		n.tick(node, life, n.TickEvery)
+		n.tick(node, generation, n.TickEvery)
 	})
 }
 
-// Send delivers messages of a node after the delay of their path.
+// Send schedules the delivery of a node's messages after the delays between the nodes.
 func (n *Net) Send(from string, messages []gossip.Message) {
 	for _, m := range messages {
 		size := uint64(proto.Size(m.Env) + gossip.MessageOverhead)
@@ -147,7 +147,7 @@
 	n.Send(to, e.Handle(n.now, from, env))
 }
 
-// Run advances virtual time.
+// Run advances virtual time by d and runs the events of that time.
 func (n *Net) Run(d time.Duration) {
 	end := n.now.Add(d)
 	for len(n.queue) > 0 && !n.queue[0].at.After(end) {
@@ -158,5 +158,5 @@
 	n.now = end
 }
 
-// Traffic returns what a node has sent and received so far.
+// Traffic returns the traffic of a node so far.
 func (n *Net) Traffic(node string) Traffic { return *n.traffic[node] }
