--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -23,18 +23,18 @@
 // fillView adds random peers until the view has ownRegionView peers of the local region and otherRegionView of others.
 func (c *Core) fillView() {
 	for _, part := range []struct {
-		own  bool
-		size int
+		ownRegion bool
+		size      int
 	}{{true, ownRegionView}, {false, otherRegionView}} {
 		count := 0
 		for _, p := range c.view {
-			if (p.Region == c.cfg.Region) == part.own {
+			if (p.Region == c.cfg.Region) == part.ownRegion {
 				count++
 			}
 		}
 		var candidates []Peer
 		for _, p := range c.peers {
-			if (p.Region == c.cfg.Region) == part.own {
+			if (p.Region == c.cfg.Region) == part.ownRegion {
 				candidates = append(candidates, p)
 			}
 		}
--- a/pkg/loadview/loadview.go
+++ b/pkg/loadview/loadview.go
@@ -128,7 +128,7 @@
 	ids            map[string]uint32
 	observations   map[uint32]*observation
 	byNode         map[string]membership.Member
-	live           []membership.Member // the view that byNode, duties and relays were computed from
+	live           []membership.Member // the view that byNode, assigned and relays were computed from
 	assigned       []string
 	relays         map[uint32]string // relay of each failure domain, by the domain's hash
 	workersChanged bool              // the list of workers has changed
--- a/pkg/loadview/loadview_test.go
+++ b/pkg/loadview/loadview_test.go
@@ -114,7 +114,7 @@
 }
 
 func (m *meshNode) Handle(_ time.Time, from string, env *pb.Envelope) []gossip.Message {
-	m.applyReport(env.GetLoadDelta().Domains[0], m.c.nodes[from].Duties())
+	m.applyReport(env.GetLoadDelta().Domains[0], m.c.byNode[from].Duties())
 	return nil
 }
 
@@ -171,13 +171,13 @@
 	return 10*running >= 9*known && 10*running < 11*next
 }
 
-// cluster simulates nodes and workers in two regions with three failure domains each.
+// cluster simulates nodes and workers in six failure domains, three in each of two regions.
 type cluster struct {
 	net     *simnet.Net
 	peers   []gossip.Peer
 	members *fixedMembers
 	workers []loadview.Worker
-	nodes   map[string]protocol
+	byNode  map[string]protocol
 	history map[string][]trueLoad
 	loads   map[string]float64
 	// levelChanges counts the changes of quantized numbers, without the margin.
@@ -185,7 +185,7 @@
 }
 
 func newCluster(nodes, workers int, seed uint64, kind string) *cluster {
-	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, nodes: map[string]protocol{}, history: map[string][]trueLoad{},
+	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, byNode: map[string]protocol{}, history: map[string][]trueLoad{},
 		loads: map[string]float64{}}
 	place := func(i int) (region, domain string) {
 		return fmt.Sprintf("r%d", i%2), fmt.Sprintf("r%d-d%d", i%2, i/2%3)
@@ -220,7 +220,7 @@
 		base := reportNode{node: p.Node, assigned: assigned[p.Node], polled: map[string]*pb.WorkerLoad{}, known: map[string]uint32{}}
 		switch kind {
 		case "mesh":
-			c.nodes[p.Node] = &meshNode{base, c}
+			c.byNode[p.Node] = &meshNode{base, c}
 		case "epidemic":
 			e := &gossipNode{base, c, g}
 			g.Watch("load/", func(item *pb.GossipItem) {
@@ -230,14 +230,14 @@
 					e.applyReport(d, assigned[from])
 				}
 			})
-			c.nodes[p.Node] = e
+			c.byNode[p.Node] = e
 		default:
 			core := loadview.NewCore(loadview.Config{Node: p.Node, FailureDomain: p.FailureDomain,
 				Rand: rand.New(rand.NewPCG(seed, uint64(i)+1000))}, g, c.members)
 			core.SetWorkers(c.workers)
-			c.nodes[p.Node] = &relayNode{core, g}
+			c.byNode[p.Node] = &relayNode{core, g}
 		}
-		c.net.Start(p.Node, c.nodes[p.Node])
+		c.net.Start(p.Node, c.byNode[p.Node])
 	}
 	for _, w := range c.workers {
 		c.loads[w.Name] = 8 + 40*c.net.Rand.Float64()
@@ -260,8 +260,8 @@
 		c.history[w.Name] = append(h, trueLoad{now, running})
 	}
 	for _, p := range c.peers {
-		for _, name := range c.nodes[p.Node].Duties() {
-			c.nodes[p.Node].Observe(now, &pb.WorkerLoad{Server: name, Running: uint32(c.loads[name]), CachePercent: 50, StepUs: 30000})
+		for _, name := range c.byNode[p.Node].Duties() {
+			c.byNode[p.Node].Observe(now, &pb.WorkerLoad{Server: name, Running: uint32(c.loads[name]), CachePercent: 50, StepUs: 30000})
 		}
 	}
 	c.net.At(500*time.Millisecond, c.poll)
@@ -270,7 +270,7 @@
 // staleness returns the time since the load that the node knows of the worker was last correct; known is false when
 // the node knows no load of the worker.
 func (c *cluster) staleness(node, worker string) (stale time.Duration, known bool) {
-	running, ok := c.nodes[node].running(c.net.Now(), worker)
+	running, ok := c.byNode[node].running(c.net.Now(), worker)
 	h := c.history[worker]
 	if !ok || matchesLevel(running, h[len(h)-1].running) {
 		return 0, ok
@@ -394,11 +394,11 @@
 		c.members.live = slices.DeleteFunc(slices.Clone(c.members.live), func(m membership.Member) bool { return m.Node == gone })
 		c.peers = slices.DeleteFunc(slices.Clone(c.peers), func(p gossip.Peer) bool { return p.Node == gone })
 		for _, p := range c.peers {
-			c.nodes[p.Node].(*relayNode).peers.SetPeers(c.peers)
+			c.byNode[p.Node].(*relayNode).peers.SetPeers(c.peers)
 		}
 		c.net.Run(20 * time.Second)
 		for _, p := range c.peers {
-			for name, l := range c.nodes[p.Node].(*relayNode).View(c.net.Now()) {
+			for name, l := range c.byNode[p.Node].(*relayNode).View(c.net.Now()) {
 				assert.Assert(t, !l.Unobserved && l.Age < 10*time.Second, "%s sees %s with age %v", p.Node, name, l.Age)
 			}
 			for _, w := range c.workers {
@@ -415,7 +415,7 @@
 	for _, d := range []*pb.DomainLoad{nil, {}, {Version: &pb.LoadVersion{Term: 1, Sequence: 1}, Workers: []uint32{1}},
 		{Version: &pb.LoadVersion{Term: 1, Sequence: 1}, Workers: []uint32{1}, Loads: []byte{255, 255, 255, 255}, Ages: []byte{0}, Back: []uint32{9}}} {
 		env := &pb.Envelope{Body: &pb.Envelope_LoadDelta{LoadDelta: &pb.LoadDelta{Domains: []*pb.DomainLoad{d}}}}
-		assert.Equal(t, len(c.nodes["n000"].Handle(c.net.Now(), "n001", env)), 0)
+		assert.Equal(t, len(c.byNode["n000"].Handle(c.net.Now(), "n001", env)), 0)
 	}
 	c.net.Run(time.Second)
 }
--- a/pkg/loadview/runner.go
+++ b/pkg/loadview/runner.go
@@ -37,8 +37,8 @@
 	poll      Poll
 	pollSlots chan struct{}
 
-	mu    sync.Mutex
-	polls map[string]*pollState
+	mu        sync.Mutex
+	pollState map[string]*pollState
 }
 
 // pollState is the polling state of one worker.
@@ -50,7 +50,7 @@
 
 // NewRunner returns a Runner; Run starts it.
 func NewRunner(core *Core, sender Sender, poll Poll) *Runner {
-	return &Runner{Core: core, sender: sender, poll: poll, pollSlots: make(chan struct{}, maxPolls), polls: map[string]*pollState{}}
+	return &Runner{Core: core, sender: sender, poll: poll, pollSlots: make(chan struct{}, maxPolls), pollState: map[string]*pollState{}}
 }
 
 // Run ticks the core and polls the workers until the context is done.
@@ -79,7 +79,7 @@
 	defer r.mu.Unlock()
 	next := make(map[string]*pollState, len(workers))
 	for _, worker := range workers {
-		p := r.polls[worker]
+		p := r.pollState[worker]
 		if p == nil {
 			p = &pollState{}
 		}
@@ -95,7 +95,7 @@
 		p.inProgress = true
 		go r.pollOne(ctx, worker, p)
 	}
-	r.polls = next
+	r.pollState = next
 }
 
 // pollOne polls a worker and records the result. After failuresUntilUnreachable failures the worker is flagged as
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -386,8 +386,8 @@
 	if item.Incarnation < c.incarnation {
 		return
 	}
-	own := state.Reporter == "" && item.Incarnation == c.incarnation && state.NodeAddr == c.cfg.NodeAddr
-	if own && state.Status != pb.MemberState_SUSPECT {
+	writtenHere := state.Reporter == "" && item.Incarnation == c.incarnation && state.NodeAddr == c.cfg.NodeAddr
+	if writtenHere && state.Status != pb.MemberState_SUSPECT {
 		return
 	}
 	c.incarnation = item.Incarnation + 1
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -226,7 +226,7 @@
 	return out
 }
 
-// suspect announces to all nodes that neither this node nor an indirect prober can reach a node.
+// suspect announces to all nodes that two nodes, this one and an indirect prober, cannot reach a node.
 func (c *Core) suspect(now time.Time, node string) {
 	r := c.records[node]
 	if r == nil || r.dead || !r.suspectedAt.IsZero() || c.selfSuspected() {
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -310,10 +310,10 @@
 }
 
 func (r *Router) recordPrefix(blocks []uint64, st *state, now int64) {
-	name := packServer(st)
+	server := packServer(st)
 	tick := r.tick(now)
 	for i := range indexedDepths(len(blocks)) {
-		r.index.insert(blocks[indexedDepth(i)-1], name, tick)
+		r.index.insert(blocks[indexedDepth(i)-1], server, tick)
 	}
 }
 
@@ -327,8 +327,8 @@
 // this tolerance the hints would be discounted all the time.
 const maxEventGap = 16
 
-// ObserveCache applies cache events of a server, in order. After a gap of more than toleratedGap events, older hints
-// of this server have half weight until ResyncCache replaces them.
+// ObserveCache applies cache events of a server, in order. After a gap of more than maxEventGap events, older hints of
+// this server have half weight until ResyncCache replaces them.
 func (r *Router) ObserveCache(server string, events []backend.CacheEvent) {
 	s := r.snap.Load()
 	i, ok := s.byID[server]
--- a/pkg/route/state.go
+++ b/pkg/route/state.go
@@ -45,7 +45,7 @@
 	growth  atomic.Uint64 // seconds per further request in the batch, float64 bits
 	started atomic.Int64  // Unix milliseconds
 
-	// unreported counts the requests that this node sent since the last report, minus those of them that ended.
+	// unreported counts the requests that this node sent since the last report, minus those that ended since.
 	unreported atomic.Int32
 
 	bias         atomic.Uint64 // observed over expected time to the first token, moving average, float64 bits
