--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -245,7 +245,7 @@
 	wg.Go(func() { l.view.Run(ctx) })
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, routerInterval)
-		observed := l.view.Duties()
+		observed := l.view.AssignedWorkers()
 		direct := l.pollOthers(ctx, list(), observed)
 		for _, instance := range list() {
 			if direct || slices.Contains(observed, instance.ID) {
--- a/pkg/loadview/loadview.go
+++ b/pkg/loadview/loadview.go
@@ -180,9 +180,9 @@
 	c.workersChanged = true
 }
 
-// Duties returns the workers that this node observes; the caller polls them. The slice is shared and must not be
-// changed.
-func (c *Core) Duties() []string {
+// AssignedWorkers returns the workers that this node observes; the caller polls them. The slice is shared and must not
+// be changed.
+func (c *Core) AssignedWorkers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
--- a/pkg/loadview/loadview_test.go
+++ b/pkg/loadview/loadview_test.go
@@ -23,7 +23,7 @@
 // protocol is a way to replicate loads; all nodes of a cluster run the same one.
 type protocol interface {
 	simnet.Endpoint
-	Duties() []string
+	AssignedWorkers() []string
 	Observe(now time.Time, load *pb.WorkerLoad)
 	// running returns the known number of running requests of a worker.
 	running(now time.Time, worker string) (uint32, bool)
@@ -61,7 +61,7 @@
 	sent     string
 }
 
-func (p *reportNode) Duties() []string { return p.assigned }
+func (p *reportNode) AssignedWorkers() []string { return p.assigned }
 
 func (p *reportNode) Observe(_ time.Time, load *pb.WorkerLoad) { p.polled[load.Server] = load }
 
@@ -114,7 +114,7 @@
 }
 
 func (m *meshNode) Handle(_ time.Time, from string, env *pb.Envelope) []gossip.Message {
-	m.applyReport(env.GetLoadDelta().Domains[0], m.c.byNode[from].Duties())
+	m.applyReport(env.GetLoadDelta().Domains[0], m.c.byNode[from].AssignedWorkers())
 	return nil
 }
 
@@ -260,7 +260,7 @@
 		c.history[w.Name] = append(h, trueLoad{now, running})
 	}
 	for _, p := range c.peers {
-		for _, name := range c.byNode[p.Node].Duties() {
+		for _, name := range c.byNode[p.Node].AssignedWorkers() {
 			c.byNode[p.Node].Observe(now, &pb.WorkerLoad{Server: name, Running: uint32(c.loads[name]), CachePercent: 50, StepUs: 30000})
 		}
 	}
--- a/pkg/loadview/runner.go
+++ b/pkg/loadview/runner.go
@@ -74,7 +74,7 @@
 
 // pollAll starts a poll of each worker that has none in progress.
 func (r *Runner) pollAll(ctx context.Context) {
-	workers := r.Core.Duties()
+	workers := r.Core.AssignedWorkers()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := make(map[string]*pollState, len(workers))
