--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -57,7 +57,7 @@
 			}
 		}
 		n.admission.SetNodes(names)
-		n.router.SetPeers(len(n.cluster.live()))
+		n.router.SetNodeCount(len(n.cluster.live()))
 		limited := limitedWorkspaces(n.Config())
 		out := &pb.WorkspaceDemand{}
 		for _, d := range n.admission.ExportDemand() {
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -95,12 +95,12 @@
 	})
 }
 
-// SetPeers sets the number of nodes, this one included, that send requests to the same servers. The requests that this
+// SetNodeCount sets the number of nodes, this one included, that send requests to the same servers. The requests that this
 // node sent to a server since its last report are taken as typical of each node that has the server in its subset.
-func (r *Router) SetPeers(n int) {
-	peers := float64(max(1, n))
-	if loadFloat(&r.nodeCount) != peers {
-		storeFloat(&r.nodeCount, peers)
+func (r *Router) SetNodeCount(n int) {
+	count := float64(max(1, n))
+	if loadFloat(&r.nodeCount) != count {
+		storeFloat(&r.nodeCount, count)
 		r.SetServers(r.snap.Load().servers)
 	}
 }
--- a/pkg/route/sim_test.go
+++ b/pkg/route/sim_test.go
@@ -156,7 +156,7 @@
 		r := New(Options{Policy: policy, Sample: sample, Region: "west", FailureDomain: fmt.Sprintf("west-%d", k%4),
 			RecomputeWeight: 50, Seed: seed + uint64(k), Now: clock, PrefillTokensPerSecond: simPrefillRate})
 		r.SetServers(s.fleet)
-		r.SetPeers(simRouters)
+		r.SetNodeCount(simRouters)
 		s.routers = append(s.routers, r)
 	}
 	rate := load * work.capacity()
