--- a/pkg/loadview/loadview_test.go
+++ b/pkg/loadview/loadview_test.go
@@ -185,8 +185,8 @@
 }
 
 func newCluster(nodes, workers int, seed uint64, kind string) *cluster {
-	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, byNode: map[string]protocol{}, history: map[string][]trueLoad{},
-		loads: map[string]float64{}}
+	c := &cluster{net: simnet.New(seed), members: &fixedMembers{}, byNode: map[string]protocol{},
+		history: map[string][]trueLoad{}, loads: map[string]float64{}}
 	place := func(i int) (region, domain string) {
 		return fmt.Sprintf("r%d", i%2), fmt.Sprintf("r%d-d%d", i%2, i/2%3)
 	}
@@ -217,7 +217,8 @@
 		g := gossip.NewCore(gossip.Config{Node: p.Node, Region: p.Region, Incarnation: 1, BytesPerSecond: 5500,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
 		g.SetPeers(c.peers)
-		base := reportNode{node: p.Node, assigned: assigned[p.Node], polled: map[string]*pb.WorkerLoad{}, known: map[string]uint32{}}
+		base := reportNode{node: p.Node, assigned: assigned[p.Node], polled: map[string]*pb.WorkerLoad{},
+			known: map[string]uint32{}}
 		switch kind {
 		case "mesh":
 			c.byNode[p.Node] = &meshNode{base, c}
@@ -352,7 +353,8 @@
 	c := newCluster(nodes, workers, 1, kind)
 	r := c.measure(20*time.Second, d)
 	t.Logf("| %s | %d | %v | %v | %v | %v | %.1f%% | %.0f | %.0f | %.1f us per message (%.0f changes/s)", kind, nodes, r.p50, r.p90, r.p99, r.max,
-		100*r.outdated, r.sent, r.maxRate, float64(r.cpu.Microseconds())/float64(max(r.messages, 1)), float64(c.levelChanges)/c.net.Now().Sub(simnet.Epoch).Seconds())
+		100*r.outdated, r.sent, r.maxRate, float64(r.cpu.Microseconds())/float64(max(r.messages, 1)),
+		float64(c.levelChanges)/c.net.Now().Sub(simnet.Epoch).Seconds())
 }
 
 // TestMeasureSlopes prints the memory per node for docs/CAPACITY.md.
--- a/pkg/loadview/runner.go
+++ b/pkg/loadview/runner.go
@@ -50,7 +50,8 @@
 
 // NewRunner returns a Runner; Run starts it.
 func NewRunner(core *Core, sender Sender, poll Poll) *Runner {
-	return &Runner{Core: core, sender: sender, poll: poll, pollSlots: make(chan struct{}, maxPolls), pollState: map[string]*pollState{}}
+	return &Runner{Core: core, sender: sender, poll: poll, pollSlots: make(chan struct{}, maxPolls),
+		pollState: map[string]*pollState{}}
 }
 
 // Run ticks the core and polls the workers until the context is done.
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -283,18 +283,18 @@
 	case *pb.Envelope_ProbeRequest:
 		out = append(out, c.probeOnRequest(now, from, body.ProbeRequest)...)
 	}
-	wasDue := c.urgent
+	wasUrgent := c.urgent
 	c.publish(now)
 	c.mu.Unlock()
-	if wasDue {
+	if wasUrgent {
 		out = append(out, c.g.Tick(now)...)
 	}
 	return out
 }
 
-// unlockAndNotify rebuilds the snapshots after changes, unlocks c.mu and calls the watches. It runs once per tick, not per
-// message, because a snapshot takes as long as dozens of messages, and many arrive together when a failure domain is
-// lost.
+// unlockAndNotify rebuilds the snapshots after changes, unlocks c.mu and calls the watches. It runs once per tick, not
+// per message, because a snapshot takes as long as dozens of messages, and many arrive together when a failure domain
+// is lost.
 func (c *Core) unlockAndNotify() {
 	changed := c.changed
 	if changed {
@@ -373,16 +373,16 @@
 		}
 		node := strings.TrimPrefix(item.Key, keyPrefix)
 		if node == c.cfg.Node {
-			c.refute(item, state)
+			c.handleOwnItem(item, state)
 			continue
 		}
 		c.applyItem(now, node, item, state)
 	}
 }
 
-// refute handles an item about the local node. If the node did not write the item itself, it is a suspicion or comes
+// handleOwnItem handles an item about the local node. An item that this process did not write is a suspicion or comes
 // from an earlier process with the same name, and is refuted with a higher incarnation.
-func (c *Core) refute(item *pb.GossipItem, state *pb.MemberState) {
+func (c *Core) handleOwnItem(item *pb.GossipItem, state *pb.MemberState) {
 	if item.Incarnation < c.incarnation {
 		return
 	}
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -32,7 +32,8 @@
 }
 
 func newCluster(t *testing.T, n int, seed uint64) *cluster {
-	c := &cluster{t: t, net: simnet.New(seed), seed: seed, cores: map[string]*membership.Core{}, configs: map[string]membership.Config{}}
+	c := &cluster{t: t, net: simnet.New(seed), seed: seed, cores: map[string]*membership.Core{},
+		configs: map[string]membership.Config{}}
 	c.net.Delay = func(from, to string) time.Duration {
 		if c.configs[from].Region != c.configs[to].Region {
 			return 40 * time.Millisecond
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -192,9 +192,9 @@
 	return out
 }
 
-// pickIndirectProbers picks indirectPeers peers of the local region for indirect probes, in failure domains other than this
-// node's and if possible different from each other. Where the whole region is one failure domain, as on a developer's
-// machine, it picks peers of this node's domain.
+// pickIndirectProbers picks up to indirectProbers peers of the local region, in failure domains other than this node's
+// and if possible different from each other. Where the whole region is one failure domain, as on a developer's machine,
+// it picks peers of this node's domain.
 func (c *Core) pickIndirectProbers(target string) []Member {
 	var candidates, ownDomain []Member
 	for _, node := range slices.Sorted(maps.Keys(c.records)) {
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// SetNodeCount sets the number of nodes, this one included, that send requests to the same servers. The requests that this
-// node sent to a server since its last report are taken as typical of each node that has the server in its subset.
+// SetNodeCount sets the number of nodes, this one included, that send requests to the same servers. The requests that
+// this node sent to a server since its last report are taken as typical of each node that has the server in its subset.
 func (r *Router) SetNodeCount(n int) {
 	count := float64(max(1, n))
 	if loadFloat(&r.nodeCount) != count {
