--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -29,9 +29,10 @@
 )
 
 const (
-	// maxServers bounds the number of servers that one call is sent to.
+	// maxServers bounds the number of servers that one call, or one query for its outcome, is tried on.
 	maxServers = 4
-	// retryAfter is the Retry-After delay that callers get when no server could take the call.
+	// retryAfter is the Retry-After delay that callers get when no server could take the call or responded to it, or
+	// when the retry budget is spent.
 	retryAfter = time.Second
 	// outcomeQueryInterval is how often the service is queried for the outcome of a non-repeatable call in progress.
 	outcomeQueryInterval = time.Second
@@ -228,8 +229,9 @@
 	end        func(strike.Outcome)
 }
 
-// begin picks a server and registers the run with Strikes. It waits while a decision on the call's strikes is pending
-// or another run of the same content must end first.
+// begin picks a server and registers the run with Strikes: if the server crashes during the run, the call may get a
+// strike. begin waits while a decision on the call's strikes is pending or another run of the same content must end
+// first.
 func (d *Dispatcher) begin(ctx context.Context, req *route.Request, content string) (*serverCall, error) {
 	for {
 		state, wait := d.Strikes.State(content)
@@ -256,7 +258,8 @@
 }
 
 // sendWithTimeLimit sends the call. If the call can be retried on another server, this one gets only a part of the
-// remaining time: its connection may have gone silent, which cannot be distinguished from a slow call.
+// remaining time: its connection may have gone silent, which, without a response, cannot be distinguished from a slow
+// call.
 func (c *serverCall) sendWithTimeLimit(ctx context.Context, request backend.CallRequest, canRetry bool) (backend.CallResponse, error) {
 	deadline, ok := ctx.Deadline()
 	if !canRetry || !ok {
@@ -294,9 +297,9 @@
 }
 
 func (d *Dispatcher) sendTo(ctx context.Context, pick *route.Pick, request backend.CallRequest) (backend.CallResponse, error) {
-	started := time.Now()
+	start := time.Now()
 	response, err := d.Service.Call(ctx, pick.Server.Addr, request)
-	result := route.Result{FirstToken: time.Since(started), Outcome: route.Succeeded}
+	result := route.Result{FirstToken: time.Since(start), Outcome: route.Succeeded}
 	d.Health.Observe(pick.Server.ID, err == nil || errors.Is(err, backend.ErrRefused))
 	if err != nil {
 		result.Outcome = route.Failed
@@ -306,8 +309,8 @@
 	return response, err
 }
 
-// callError returns the error for a call that got no response. Its ran is no only if no server can have received any of
-// the call.
+// callError returns the error for a call that got no response. It has ran:"no" only if no server can have received any
+// of the call, and ran:"unknown" otherwise.
 func (d *Dispatcher) callError(ctx context.Context, sent bool, err error) error {
 	var refusal *code.Error
 	switch {
