--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -19,7 +19,8 @@
 	demandKeyPrefix = "demand/"
 	// demandInterval is how often a node publishes the demand of its workspaces to the other nodes.
 	demandInterval = time.Second
-	// demandTTL tolerates a few lost gossip items; a node whose item has expired counts as unreachable.
+	// demandTTL is the lifetime of a demand item in gossip, long enough for a few updates to be lost. The shares count a
+	// node as unreachable sooner, after staleAfter of package limit without an update.
 	demandTTL = 10 * time.Second
 	// slotInterval is much shorter than the time to first token, in which the learned limits may double.
 	slotInterval = 50 * time.Millisecond
@@ -79,8 +80,8 @@
 	}
 }
 
-// limitedWorkspaces returns the names of the workspaces that have a cluster-wide limit. Other nodes need no demand of
-// workspaces without one.
+// limitedWorkspaces returns the names of the workspaces that have a cluster-wide limit. The demand of other workspaces
+// is not published, because no other node needs it.
 func limitedWorkspaces(index *config.Index) map[string]bool {
 	out := map[string]bool{}
 	if index == nil {
@@ -100,7 +101,8 @@
 	return m.Status != pb.MemberState_DEAD && m.Status != pb.MemberState_LEFT
 }
 
-// adjustSlots keeps the admission's concurrency equal to slots until ctx ends.
+// adjustSlots keeps the admission's concurrency equal to slots, which follows the limits learned from the engines'
+// latency, until ctx ends.
 func (n *Node) adjustSlots(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.admission.SetConcurrency(n.slots())
@@ -130,7 +132,7 @@
 }
 
 // slots returns how many generations this node may run at the same time: the sum of the in-flight limits of all
-// engines, which it has learned from their latency.
+// engines, which it has learned from their latency, but at least minSlots.
 func (n *Node) slots() int {
 	sum := 0
 	for _, instance := range n.tracker.List() {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -37,7 +37,7 @@
 )
 
 // errUnknownNode means that the recipient of a message is not in this node's membership view.
-var errUnknownNode = merry.New("node is not a live member")
+var errUnknownNode = merry.New("node is not a known member")
 
 // cluster is a node's connection to the other nodes: membership, gossip and requests to peers.
 type cluster struct {
@@ -102,7 +102,7 @@
 // readsFolder reports whether this node is one of those that read the operators' folder.
 func (c *cluster) readsFolder() bool { return c.hasRole(folderRole, folderReaders) }
 
-// handle processes a gossip or membership message.
+// handle processes a gossip or membership message and acknowledges it.
 func (c *cluster) handle(_ context.Context, from string, env *pb.Envelope) (*pb.Envelope, error) {
 	c.view.Receive(from, env)
 	return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{}}}, nil
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,19 +13,20 @@
 	// handoverInterval limits a leaving node to 100 handovers per second, so that the new home nodes are not
 	// overloaded.
 	handoverInterval = 10 * time.Millisecond
-	// exitMargin is the part of the notice period that is reserved for the last steps before exit.
+	// exitMargin is the time before the deadline of a drain that is reserved for the last steps before exit.
 	exitMargin = time.Second
 	// redirectPeriod is how long a leaving node without open work still accepts connections, so that callers that have
 	// just got its address are redirected instead of failing to connect.
 	redirectPeriod = 2 * time.Second
-	// finalCopyTimeout bounds the sending of response copies before exit; it is less than exitMargin.
-	finalCopyTimeout  = 500 * time.Millisecond
-	drainPollInterval = 20 * time.Millisecond
+	// finalTransferTimeout bounds the transfer of response replicas to other nodes before exit; it is less than
+	// exitMargin.
+	finalTransferTimeout = 500 * time.Millisecond
+	drainPollInterval    = 20 * time.Millisecond
 )
 
 // Drain takes the node out of service. With a zero deadline it waits until the last request is done. Otherwise it hands
 // over the responses that will not finish in time to other nodes. It starts at once, because processes may die before
-// their notice period ends. It returns when no work is left or exitMargin before the deadline.
+// their notice period ends. It returns when no work is left or the deadline is less than exitMargin away.
 func (n *Node) Drain(ctx context.Context, deadline time.Time) {
 	if !n.leaving.CompareAndSwap(false, true) {
 		<-n.drained
@@ -45,7 +46,7 @@
 	}
 	clock.Sleep(ctx, redirectPeriod)
 	n.finishWork(ctx, deadline)
-	finalCtx, cancel := context.WithTimeout(context.Background(), finalCopyTimeout)
+	finalCtx, cancel := context.WithTimeout(context.Background(), finalTransferTimeout)
 	defer cancel()
 	n.replicator.PassOnCopies(finalCtx)
 	n.log.WithField("open_requests", n.openRequests.Load()).Info("node drained")
@@ -53,7 +54,7 @@
 
 // finishWork returns when no request is open and no response runs, or when ctx ends. With a deadline it repeatedly
 // hands over what will not finish in time: a caller of a dead home node may meanwhile make this node take over a
-// response of which it holds the copy.
+// response of which it holds the replica.
 func (n *Node) finishWork(ctx context.Context, deadline time.Time) {
 	for (n.runner.Running() > 0 || n.openRequests.Load() > 0) && ctx.Err() == nil {
 		if !deadline.IsZero() {
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -33,7 +33,8 @@
 	// strikeInterval is how often pending crashes are decided on and changes are published to other nodes.
 	strikeInterval = 250 * time.Millisecond
 	// crashProbes is how many times a server whose connection broke is probed, crashProbeInterval the wait between two
-	// probes. One probe is not enough: the server may still respond for a moment after the connection breaks.
+	// probes, crashProbeTimeout the time limit of each. One probe is not enough: the server may still respond for a
+	// moment after the connection breaks.
 	crashProbes        = 3
 	crashProbeInterval = 100 * time.Millisecond
 	crashProbeTimeout  = 500 * time.Millisecond
@@ -45,8 +46,9 @@
 	strikes *strike.Tracker
 	cluster *cluster
 	metrics *metrics.Set
-	// queryLoad queries a server for its load. hasNotice reports whether a server leaves or has left after a reclaim
-	// notice. startedAt returns the last known start time of a server in Unix milliseconds.
+	// queryLoad queries a server for its load. hasNotice reports whether a server is leaving or has left, after a
+	// reclaim notice or by the fleet plan. startedAt returns the last known start time of a server in Unix
+	// milliseconds.
 	queryLoad func(ctx context.Context, server *route.Server) (backend.Load, error)
 	hasNotice func(server string) bool
 	startedAt func(server string) int64
@@ -109,7 +111,7 @@
 	}, true
 }
 
-// probe reports a crash if the server does not respond or has restarted. A server is probed only once at a time.
+// probe reports a crash if the server does not respond or has restarted. At most one probe per server runs at a time.
 func (g *guard) probe(server *route.Server, started int64) {
 	g.mu.Lock()
 	busy := g.probing[server.ID]
--- a/internal/node/modeldemand.go
+++ b/internal/node/modeldemand.go
@@ -21,7 +21,8 @@
 	// receives five items per second, with 13 bytes for each model in demand. At 400 nodes an item is the mean of 80 s.
 	modelDemandIntervalPerNode = 200 * time.Millisecond
 	minModelDemandInterval     = time.Second
-	// modelDemandTTLIntervals is the lifetime of an item in publishing intervals, so that lost items do not end it.
+	// modelDemandTTLIntervals is the lifetime of an item in publishing intervals. A node's demand thus outlives the
+	// loss of two items in a row.
 	modelDemandTTLIntervals = 3
 	// meanTokensWeight is the weight of one response in the moving average of a model's response length.
 	meanTokensWeight = 0.02
@@ -158,9 +159,9 @@
 	})
 	for ctx.Err() == nil {
 		interval := max(minModelDemandInterval, time.Duration(len(n.cluster.live()))*modelDemandIntervalPerNode)
-		began := time.Now()
+		start := time.Now()
 		clock.Sleep(ctx, interval)
-		if item := n.modelDemand.endInterval(time.Since(began)); item != nil {
+		if item := n.modelDemand.endInterval(time.Since(start)); item != nil {
 			n.cluster.publish(modelDemandKeyPrefix+self, item, modelDemandTTLIntervals*interval, false)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,8 +2,9 @@
 //
 // # Lifecycle
 //
-// A node finds the other nodes through the instance list, joins their membership and fetches the configuration in
-// force. It listens for callers from the start; until it has a configuration, it refuses requests with a result code.
+// A node finds the other nodes through the instance list, joins their membership and fetches the configuration in force
+// from them or from the platform's stores. It listens for callers from the start; until it has a configuration, it
+// refuses requests with a result code.
 // On SIGTERM or a reclaim notice it announces that it is leaving, redirects new requests to other nodes, finishes or
 // hands over the open ones, and exits.
 package node
@@ -417,7 +418,7 @@
 	return err
 }
 
-// start runs the background tasks until ctx ends.
+// start starts the background tasks, which run until ctx ends.
 func (n *Node) start(ctx context.Context, wg *sync.WaitGroup) {
 	n.cluster.start(ctx, wg)
 	for _, run := range []func(context.Context){
