--- a/internal/node/caller_test.go
+++ b/internal/node/caller_test.go
@@ -146,7 +146,7 @@
 	lines       *bufio.Scanner
 }
 
-// open sends a prompt to a node. It returns the response if the request is refused, and nil otherwise.
+// open sends a prompt to a node. The returned response is nil unless the request was refused or failed.
 func (c *caller) open(node int, p prompt) (*stream, *response) {
 	s := &stream{caller: c, node: node}
 	refused := s.connect(request{method: "POST", path: "/v1/completions", body: p.body(true)})
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -79,7 +79,7 @@
 	folder   *standin.MemFolder
 	network  *netfault.PipeNetwork
 	mesh     *mesh
-	nodesMu  sync.Mutex // guards a restart against watchVersions
+	nodesMu  sync.Mutex // guards nodes, which a restart changes while watchVersions reads them
 	nodes    []*testNode
 	engines  map[string]*engine.Engine
 	services map[string]*service.Service
@@ -304,7 +304,7 @@
 	}
 }
 
-// stop ends everything and waits until no goroutine is left in the synctest bubble.
+// stop ends everything and waits settleTime, so that no goroutine is left in the synctest bubble.
 func (c *cluster) stop() {
 	for _, n := range c.nodes {
 		n.kill()
--- a/internal/node/config_session_test.go
+++ b/internal/node/config_session_test.go
@@ -33,7 +33,7 @@
 	var out nodeStatus
 	body, err := json.Marshal(n.Status())
 	if err != nil || json.Unmarshal(body, &out) != nil {
-		panic("test: node status cannot be encoded as JSON")
+		panic("test: node status cannot be converted to JSON and back")
 	}
 	return out
 }
@@ -41,11 +41,11 @@
 // awaitRevision waits until the nodes have a folder revision, or a later one, in force. It returns how long that took,
 // or the limit and false if it took longer.
 func (c *cluster) awaitRevision(revision uint64, limit time.Duration, nodes ...*testNode) (time.Duration, bool) {
-	begin := time.Now()
-	for time.Since(begin) <= limit {
+	start := time.Now()
+	for time.Since(start) <= limit {
 		behind := slices.ContainsFunc(nodes, func(n *testNode) bool { return n.status().Config.FolderRevision < revision })
 		if !behind {
-			return time.Since(begin), true
+			return time.Since(start), true
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
@@ -104,8 +104,8 @@
 			}
 			revision := c.folder.EditFile("90-new.json", workspaceFile(fmt.Sprintf("new-%d", i)))
 			if _, ok := c.awaitRevision(revision, 2*time.Second, c.nodes...); !ok {
-				took, _ := c.awaitRevision(revision, time.Minute, c.nodes...)
-				t.Errorf("edit %d: in force everywhere only after %v", i, 2*time.Second+took)
+				elapsed, _ := c.awaitRevision(revision, time.Minute, c.nodes...)
+				t.Errorf("edit %d: in force everywhere only after %v", i, 2*time.Second+elapsed)
 			}
 		}
 	})
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -48,10 +48,10 @@
 	})
 }
 
-// Guards against losing the last copy of a response because the node that holds it is leaving and so is not queried for
-// it, and against a leaving node that takes over a response and does not hand it over again. Found by schedule
+// Guards against losing the last replica of a response because the node that holds it is leaving and so is not queried
+// for it, and against a leaving node that takes over a response and does not hand it over again. Found by schedule
 // -rapid.seed=32.
-func TestCopiesAreFetchedFromLeavingNodes(t *testing.T) {
+func TestReplicasAreFetchedFromLeavingNodes(t *testing.T) {
 	runWithCluster(t, clusterOptions{}, func(t *testing.T, c *cluster) {
 		streams := openStreams(t, c, 8)
 		c.nodes[0].kill()
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// awaitRunning waits until the process is not paused, and returns errDead if it is dead. It takes no context, since a
-// paused process would not see one end.
+// awaitRunning waits until the process is not paused, and returns errDead if it is dead. It takes no context, because a
+// paused process would not notice the end of one.
 func (p *process) awaitRunning() error {
 	for {
 		p.mu.Lock()
@@ -107,8 +107,8 @@
 // Read implements net.Conn.
 func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if passErr := c.process.awaitRunning(); passErr != nil {
-		return 0, passErr
+	if processErr := c.process.awaitRunning(); processErr != nil {
+		return 0, processErr
 	}
 	return n, err
 }
--- a/internal/node/random_load_test.go
+++ b/internal/node/random_load_test.go
@@ -84,13 +84,13 @@
 }
 
 // checkAccepted reports a violation if a node accepted a request later than leaveLimit after it was told to leave.
-func (l *mixedLoad) checkAccepted(node int, begin time.Time) {
+func (l *mixedLoad) checkAccepted(node int, start time.Time) {
 	name := l.cluster.nodes[node].settings.Node
 	l.mu.Lock()
 	since, leaving := l.leavingSince[name]
 	l.mu.Unlock()
-	if leaving && begin.Sub(since) > leaveLimit {
-		l.report("%s accepted work %v after it was told to leave", name, begin.Sub(since))
+	if leaving && start.Sub(since) > leaveLimit {
+		l.report("%s accepted work %v after it was told to leave", name, start.Sub(since))
 	}
 }
 
@@ -99,13 +99,13 @@
 	caller := newCaller(l.cluster)
 	for i := 0; l.running(); i++ {
 		p := prompt{text: fmt.Sprintf("brief %d for caller %d of node %d", i, callerNumber, node), tokens: uint32(100 + 50*callerNumber), seed: uint64(i + 1)}
-		begin := time.Now()
+		start := time.Now()
 		s, refused := caller.open(node, p)
 		if refused != nil {
 			time.Sleep(loadInterval)
 			continue
 		}
-		l.checkAccepted(node, begin)
+		l.checkAccepted(node, start)
 		if err := s.finish(); err != nil {
 			l.report("accepted stream: %v", err)
 		} else if err := s.check(p); err != nil {
@@ -128,9 +128,9 @@
 		}
 		for try := range maxSends {
 			target := (node + try) % len(l.cluster.nodes)
-			begin := time.Now()
+			start := time.Now()
 			res := caller.bookWithin(target, b.key, "deposit", timeout)
-			if l.record(b, res, target, begin) || (b.onlyNotRun && i%abandonEvery == 0) {
+			if l.record(b, res, target, start) || (b.onlyNotRun && i%abandonEvery == 0) {
 				break
 			}
 			time.Sleep(loadInterval)
@@ -140,10 +140,10 @@
 }
 
 // record adds a response to a booking, checks it and reports whether the booking has succeeded.
-func (l *mixedLoad) record(b *booking, res response, node int, begin time.Time) (done bool) {
+func (l *mixedLoad) record(b *booking, res response, node int, start time.Time) (done bool) {
 	b.responses = append(b.responses, res.String())
 	if res.err == nil && res.status == 200 {
-		l.checkAccepted(node, begin)
+		l.checkAccepted(node, start)
 		b.onlyNotRun = false
 		if n := l.cluster.runs.Count("shop/" + b.key); n != 1 {
 			l.report("%s succeeded for its caller but ran %d times", b.key, n)
@@ -175,9 +175,9 @@
 func (l *mixedLoad) lookUp(node int) {
 	caller := newCaller(l.cluster)
 	for l.running() {
-		begin := time.Now()
+		start := time.Now()
 		if res := caller.lookUp(node); res.err == nil && res.status == 200 {
-			l.checkAccepted(node, begin)
+			l.checkAccepted(node, start)
 		}
 		time.Sleep(loadInterval)
 	}
--- a/internal/node/random_schedule_test.go
+++ b/internal/node/random_schedule_test.go
@@ -37,8 +37,8 @@
 	"store-refuses", "store-hangs", "store-loses", "store-late", "store-slow", "store-stale", "refuse-starts", "edit", "bad-edit",
 }
 
-// maxFaults limits the faults that the guarantees cover only up to a number: a response has two copies, a request that
-// runs on two servers when they crash is refused as the suspected cause, and some servers must remain.
+// maxFaults limits the faults that the guarantees cover only up to a number: a response is stored on two nodes, a
+// request that runs on two servers when they crash is refused as the suspected cause, and some servers must remain.
 var maxFaults = map[string]int{"kill-node": 1, "drain-node": 1, "reclaim-domain": 1, "pause-node": 1, "cut-node": 1, "crash": 1, "reclaim-server": 2}
 
 func drawFault(rt *rapid.T) fault {
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -169,10 +169,10 @@
 		} {
 			s.step("%s", f.name)
 			f.inject()
-			begin := time.Now()
+			start := time.Now()
 			first := caller.book(0, f.key, "deposit")
 			s.observeBooking(c, "booking", first, f.key)
-			s.observe("answered within 300 ms: %v", time.Since(begin) <= 300*time.Millisecond)
+			s.observe("answered within 300 ms: %v", time.Since(start) <= 300*time.Millisecond)
 			time.Sleep(5 * time.Second)
 			s.observe("runs 5 s later: %d", c.runs.Count("shop/"+f.key))
 			c.platform.HealStore()
@@ -387,25 +387,25 @@
 	runWithCluster(t, clusterOptions{ServiceDelay: 2 * time.Second}, func(t *testing.T, c *cluster) {
 		s := &transcript{t: t}
 		caller := newCaller(c)
-		fullPrompt := prompt{text: "Tag this ticket", tokens: 150, seed: 3}
+		ticketPrompt := prompt{text: "Tag this ticket", tokens: 150, seed: 3}
 		s.step("entry-1 has a stream, a whole answer and a booking in progress")
 		r := c.mustOpen(t, 0, longPrompt)
-		fullResponses, bookingResponses := make(chan response, 1), make(chan response, 1)
+		nonStreamedResponses, bookingResponses := make(chan response, 1), make(chan response, 1)
 		go func() {
-			fullResponses <- caller.do(0, request{method: "POST", path: "/v1/completions", body: fullPrompt.body(false)})
+			nonStreamedResponses <- caller.do(0, request{method: "POST", path: "/v1/completions", body: ticketPrompt.body(false)})
 		}()
 		go func() { bookingResponses <- caller.book(0, "drain", "deposit") }()
 		r.read(20)
 		s.step("SIGTERM")
 		c.nodes[0].drain()
 		time.Sleep(100 * time.Millisecond)
-		s.observe("new stream: %v", caller.do(0, request{method: "POST", path: "/v1/completions", body: fullPrompt.body(true)}))
+		s.observe("new stream: %v", caller.do(0, request{method: "POST", path: "/v1/completions", body: ticketPrompt.body(true)}))
 		s.observe("new booking: %v", caller.book(0, "new", "deposit"))
 		s.observeBooking(c, "booking in progress", <-bookingResponses, "drain")
-		full := <-fullResponses
+		nonStreamed := <-nonStreamedResponses
 		var body struct{ Choices []struct{ Text string } }
-		complete := json.Unmarshal([]byte(full.body), &body) == nil && body.Choices[0].Text == fullPrompt.expectedText()
-		s.observe("whole answer in progress: %v, equal to the fault-free answer: %v", full, complete)
+		complete := json.Unmarshal([]byte(nonStreamed.body), &body) == nil && body.Choices[0].Text == ticketPrompt.expectedText()
+		s.observe("whole answer in progress: %v, equal to the fault-free answer: %v", nonStreamed, complete)
 		s.observe("the process still runs: %v", !c.nodes[0].exited())
 		s.finishStream("stream in progress", r, longPrompt)
 		s.observe("the stream stayed on its connection: %v", r.resumes == 0)
