--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -16,12 +16,12 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-const councilDigest = "a5eb7a1b9f5b4d9f7c1a4d1a2f3d8e7c6b5a49382716051423324150617f8e9d"
+const councilTokenDigest = "a5eb7a1b9f5b4d9f7c1a4d1a2f3d8e7c6b5a49382716051423324150617f8e9d"
 
-// base is a valid folder that tests change by further files.
-const base = `{
+// baseFile is a valid configuration on its own; tests merge further files into it.
+const baseFile = `{
   "models": [{"name": "quote-small", "adapters": ["harbour"], "backend_group": "engines", "context_tokens": 4096}],
-  "workspaces": [{"name": "council", "token_sha256": ["` + councilDigest + `"]}],
+  "workspaces": [{"name": "council", "token_sha256": ["` + councilTokenDigest + `"]}],
   "services": [{"name": "booking", "backend_group": "desk", "routes": [
     {"method": "POST", "path_prefix": "/bookings", "non_repeatable": true},
     {"path_prefix": "/bookings"},
@@ -31,7 +31,7 @@
   "policy": {"first_token_ms": 100, "progress_before_delivery": true, "recompute_weight": 20}
 }`
 
-func merge(t *testing.T, texts ...string) *pb.FolderFile {
+func mustMerge(t *testing.T, texts ...string) *pb.FolderFile {
 	t.Helper()
 	files := map[string][]byte{}
 	for i, text := range texts {
@@ -42,8 +42,8 @@
 	return merged
 }
 
-// sections splits a test file into the files after lines of the form "-- NAME --".
-func sections(data []byte) map[string][]byte {
+// splitFiles splits test data into files, each of which begins with a line of the form "-- NAME --".
+func splitFiles(data []byte) map[string][]byte {
 	files := map[string][]byte{}
 	name := ""
 	for line := range strings.Lines(string(data)) {
@@ -57,7 +57,7 @@
 	return files
 }
 
-// Guards against faults that are missed or that do not name file, field and reason.
+// Guards against faults that go undetected or that do not name file, field and reason.
 func TestFaults(t *testing.T) {
 	cases, err := filepath.Glob("testdata/faults/*.txt")
 	assert.NilError(t, err)
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			data, err := os.ReadFile(path)
 			assert.NilError(t, err)
-			merged, faults := Merge(sections(data))
+			merged, faults := Merge(splitFiles(data))
 			assert.Assert(t, merged == nil)
 			var out strings.Builder
 			for _, fault := range faults {
@@ -78,10 +78,10 @@
 	}
 }
 
-// Guards against an override that keeps fields of the earlier item, and against a later file that cannot set a
-// policy field back to zero or false.
+// Guards against an override that keeps fields of the item it replaces, and against a later file that cannot reset a
+// policy field to zero or false.
 func TestOverrideDeleteAndPolicy(t *testing.T) {
-	merged := merge(t, base, `{
+	merged := mustMerge(t, baseFile, `{
 	  "models": [{"name": "quote-small", "override": true, "backend_group": "engines", "context_tokens": 10}],
 	  "policy": {"progress_before_delivery": false, "recompute_weight": 0, "retry_percent": null}
 	}`, `{"delete": ["services/booking"], "services": [{"name": "booking", "backend_group": "desk"}]}`)
@@ -95,9 +95,9 @@
 	assert.Equal(t, policy.FirstToken, 100*time.Millisecond)
 }
 
-// Guards against calls that avoid a non-repeatable route by an unclean path or a shorter prefix.
+// Guards against calls that bypass a non-repeatable route with an unclean path or through a shorter prefix.
 func TestIndex(t *testing.T) {
-	x := NewIndex(&pb.Snapshot{Merged: merge(t, base)})
+	x := NewIndex(&pb.Snapshot{Merged: mustMerge(t, baseFile)})
 	service, ok := x.Service("booking")
 	assert.Assert(t, ok)
 	for _, c := range []struct {
@@ -127,10 +127,10 @@
 	assert.Assert(t, !ok)
 }
 
-// Guards against a token that is compared as text or found under another workspace.
+// Guards against a token that is compared as text or resolves to another workspace.
 func TestWorkspaceByToken(t *testing.T) {
 	digest := Digest([]byte("council-token"))
-	x := NewIndex(&pb.Snapshot{Merged: merge(t, strings.ReplaceAll(base, councilDigest, digest))})
+	x := NewIndex(&pb.Snapshot{Merged: mustMerge(t, strings.ReplaceAll(baseFile, councilTokenDigest, digest))})
 	workspace, ok := x.Workspace("council-token")
 	assert.Assert(t, ok)
 	assert.Equal(t, workspace.Name, "council")
@@ -140,12 +140,12 @@
 	}
 }
 
-// Guards against a digest that depends on the division into files or on map order, and against a snapshot that
-// was damaged on the way.
+// Guards against a digest that depends on the division into files or on map order, and against the acceptance of a
+// snapshot that was corrupted in transit.
 func TestEncode(t *testing.T) {
-	split := merge(t, base, `{"delete": ["models/quote-small"]}`,
+	split := mustMerge(t, baseFile, `{"delete": ["models/quote-small"]}`,
 		`{"models": [{"name": "quote-small", "adapters": ["harbour"], "backend_group": "engines", "context_tokens": 4096}]}`)
-	first, digest, err := Encode(&pb.Snapshot{Merged: merge(t, base), FolderRevision: 3})
+	first, digest, err := Encode(&pb.Snapshot{Merged: mustMerge(t, baseFile), FolderRevision: 3})
 	assert.NilError(t, err)
 	second, digest2, err := Encode(&pb.Snapshot{Merged: split, FolderRevision: 3})
 	assert.NilError(t, err)
@@ -159,22 +159,22 @@
 	assert.ErrorIs(t, err, ErrDigest)
 }
 
-// BenchmarkMerge measures a folder of the target size: a few hundred workspaces.
+// BenchmarkMerge measures a folder at the target deployment size: a few hundred workspaces.
 func BenchmarkMerge(b *testing.B) {
 	var text strings.Builder
 	for i := range 300 {
 		fmt.Fprintf(&text, `%s{"name": "w%d", "token_sha256": ["%s"]}`, strings.Repeat(",", min(i, 1)), i, Digest(fmt.Append(nil, i)))
 	}
-	files := map[string][]byte{"10.json": []byte(base), "20.json": []byte(`{"workspaces": [` + text.String() + `]}`)}
+	files := map[string][]byte{"10.json": []byte(baseFile), "20.json": []byte(`{"workspaces": [` + text.String() + `]}`)}
 	for b.Loop() {
 		merged, _ := Merge(files)
 		NewIndex(&pb.Snapshot{Merged: merged})
 	}
 }
 
-// BenchmarkLookup measures what each request pays: workspace, model and route.
+// BenchmarkLookup measures the lookups of each request: workspace, model and route.
 func BenchmarkLookup(b *testing.B) {
-	merged, _ := Merge(map[string][]byte{"10.json": []byte(base)})
+	merged, _ := Merge(map[string][]byte{"10.json": []byte(baseFile)})
 	x := NewIndex(&pb.Snapshot{Merged: merged})
 	service, _ := x.Service("booking")
 	b.ReportAllocs()
@@ -185,13 +185,13 @@
 	}
 }
 
-// FuzzMerge guards against panics, faults without a place, and a merged result that is not itself valid.
+// FuzzMerge guards against panics, faults without a file, field or reason, and a merged result that is not itself valid.
 func FuzzMerge(f *testing.F) {
-	f.Add([]byte(base), []byte(`{"delete": ["models/quote-small"]}`))
+	f.Add([]byte(baseFile), []byte(`{"delete": ["models/quote-small"]}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		merged, faults := Merge(map[string][]byte{"a.json": first, "b.json": second})
 		if (merged == nil) != (len(faults) > 0) {
-			t.Fatal("a merge gives either a result or faults")
+			t.Fatal("Merge must return either a result or faults")
 		}
 		for _, fault := range faults {
 			if fault.File == "" || fault.Field == "" || fault.Reason == "" {
@@ -205,9 +205,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, faults := Merge(map[string][]byte{"a.json": text})
-		if len(faults) > 0 || !proto.Equal(merged, again) {
-			t.Fatalf("the merged text does not merge to itself: %v", faults)
+		remerged, faults := Merge(map[string][]byte{"a.json": text})
+		if len(faults) > 0 || !proto.Equal(merged, remerged) {
+			t.Fatalf("merging the merged text again gives another result or faults: %v", faults)
 		}
 	})
 }
--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -6,10 +6,10 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// Defaults of fields that are unset. This is the only place where they are applied; the comments in
-// proto/folder.proto name the same values.
+// Defaults of unset fields. They are applied in this package only; the comments in proto/folder.proto state the same
+// values.
 const (
-	// DefaultFirstToken and DefaultBetweenTokens are the latency targets of the target size.
+	// DefaultFirstToken and DefaultBetweenTokens are the latency targets at the target deployment size.
 	DefaultFirstToken    = 420 * time.Millisecond
 	DefaultBetweenTokens = 37 * time.Millisecond
 
@@ -27,32 +27,32 @@
 	bytesPerKiB = 1024
 )
 
-// Policy is the policy of a snapshot with the defaults filled in.
+// Policy is the policy of a snapshot with defaults applied to unset fields.
 type Policy struct {
-	// FirstToken and BetweenTokens are the latency targets for 95 in 100.
+	// FirstToken and BetweenTokens are 95th-percentile latency targets.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// RecomputeWeight is the weight of recomputed tokens against cost, 0 to 100.
+	// RecomputeWeight is the weight of recomputed tokens relative to cost, from 0 to 100.
 	RecomputeWeight uint32
-	// RetryPercent limits retries and hedges, in percent of requests.
+	// RetryPercent limits retries and hedges, as a percentage of requests.
 	RetryPercent          uint32
 	ResponseRetention     time.Duration
 	OutcomeRetention      time.Duration
 	MaxBodyBytes          int64
-	ProgressFirst         bool // tokens are replicated before they are delivered
+	ProgressFirst         bool // replicate tokens before they are delivered
 	SpareFailureDomains   uint32
 	MaxReclaimablePercent uint32
 }
 
-// policyOf fills in the defaults of p, which may be nil.
-func policyOf(p *pb.Policy) Policy {
+// withDefaults returns p, which may be nil, with defaults applied to unset fields.
+func withDefaults(p *pb.Policy) Policy {
 	out := Policy{
-		FirstToken:            millis(p.GetFirstTokenMs(), DefaultFirstToken),
-		BetweenTokens:         millis(p.GetBetweenTokensMs(), DefaultBetweenTokens),
+		FirstToken:            millisOr(p.GetFirstTokenMs(), DefaultFirstToken),
+		BetweenTokens:         millisOr(p.GetBetweenTokensMs(), DefaultBetweenTokens),
 		RecomputeWeight:       DefaultRecomputeWeight,
 		RetryPercent:          DefaultRetryPercent,
-		ResponseRetention:     seconds(p.GetResponseRetentionSeconds(), DefaultResponseRetention),
-		OutcomeRetention:      seconds(p.GetOutcomeRetentionSeconds(), DefaultOutcomeRetention),
+		ResponseRetention:     secondsOr(p.GetResponseRetentionSeconds(), DefaultResponseRetention),
+		OutcomeRetention:      secondsOr(p.GetOutcomeRetentionSeconds(), DefaultOutcomeRetention),
 		MaxBodyBytes:          DefaultMaxBodyBytes,
 		ProgressFirst:         p.GetProgressBeforeDelivery(),
 		SpareFailureDomains:   DefaultSpareFailureDomains,
@@ -79,16 +79,16 @@
 	return out
 }
 
-func millis(n uint32, unset time.Duration) time.Duration {
+func millisOr(n uint32, fallback time.Duration) time.Duration {
 	if n == 0 {
-		return unset
+		return fallback
 	}
 	return time.Duration(n) * time.Millisecond
 }
 
-func seconds(n uint32, unset time.Duration) time.Duration {
+func secondsOr(n uint32, fallback time.Duration) time.Duration {
 	if n == 0 {
-		return unset
+		return fallback
 	}
 	return time.Duration(n) * time.Second
 }
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -17,12 +17,12 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// ErrDigest means that a serialized snapshot does not have the digest it was asked for by.
+// ErrDigest means that a serialized snapshot does not have the digest by which it was requested.
 var ErrDigest = errors.New("config: snapshot does not match its digest")
 
-// Encode serializes a snapshot and returns its digest: SHA-256 in lower-case hex, which is also the name of its
-// object. The encoding of equal snapshots is equal within one release; receivers compare digests of the bytes
-// they received and never re-encode.
+// Encode serializes a snapshot and returns its digest: SHA-256 in lower-case hex, which is also its name in the
+// object store. Equal snapshots have equal encodings only within one release, so receivers compute the digest of the
+// bytes they received and never re-encode.
 func Encode(snapshot *pb.Snapshot) ([]byte, string, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Decode returns the snapshot in data. It returns ErrDigest unless data has the digest. A snapshot of a newer
-// release may hold fields that this release does not know; they are ignored.
+// Decode parses a serialized snapshot. It returns ErrDigest if data does not have the digest. Fields that this release
+// does not know, such as those written by a newer one, are ignored.
 func Decode(data []byte, digest string) (*pb.Snapshot, error) {
 	if Digest(data) != digest {
 		return nil, ErrDigest
@@ -53,24 +53,24 @@
 	return snapshot, nil
 }
 
-// Model is a model as callers name it.
+// Model is a model, or a model with an adapter, that callers can request.
 type Model struct {
 	*pb.Model
-	// Adapter is the adapter the caller named, or "".
+	// Adapter is the name of the adapter, or "" for the model without one.
 	Adapter string
 	Group   *pb.BackendGroup
 }
 
-// Service is a plain service with its routes compiled.
+// Service is a plain service with its routes ordered for matching.
 type Service struct {
 	*pb.Service
 	Group   *pb.BackendGroup
 	Timeout time.Duration
-	// routes are ordered by falling length of the prefix; of equal prefixes a route with a method comes first.
+	// routes are sorted by descending prefix length; among equal prefixes, routes with a method come first.
 	routes []*pb.Route
 }
 
-// Index is an immutable lookup structure of one snapshot. Callers must not change what it returns.
+// Index is an immutable lookup structure for one snapshot. Callers must not modify the values it returns.
 type Index struct {
 	folder     *pb.FolderFile
 	policy     Policy
@@ -82,7 +82,8 @@
 	classes    map[string]*pb.InstanceClass
 }
 
-// NewIndex compiles a snapshot, which must come from Merge. It takes ownership of the snapshot.
+// NewIndex builds the index of a snapshot whose configuration was produced by Merge. It takes ownership of the
+// snapshot.
 func NewIndex(snapshot *pb.Snapshot) *Index {
 	folder := snapshot.GetMerged()
 	if folder == nil {
@@ -90,7 +91,7 @@
 	}
 	x := &Index{
 		folder:     folder,
-		policy:     policyOf(folder.Policy),
+		policy:     withDefaults(folder.Policy),
 		tokens:     map[[sha256.Size]byte]*pb.Workspace{},
 		workspaces: byName(folder.Workspaces),
 		models:     map[string]Model{},
@@ -114,7 +115,7 @@
 	for _, text := range workspace.TokenSha256 {
 		digest, err := hex.DecodeString(text)
 		if err != nil || len(digest) != sha256.Size {
-			continue // Merge refuses such a token
+			continue // Merge rejects such a token
 		}
 		x.tokens[[sha256.Size]byte(digest)] = workspace
 	}
@@ -132,7 +133,7 @@
 	out := &Service{
 		Service: service,
 		Group:   x.groups[service.BackendGroup],
-		Timeout: millis(service.TimeoutMs, DefaultServiceTimeout),
+		Timeout: millisOr(service.TimeoutMs, DefaultServiceTimeout),
 		routes:  slices.Clone(service.Routes),
 	}
 	slices.SortStableFunc(out.routes, func(a, b *pb.Route) int {
@@ -144,8 +145,8 @@
 	return out
 }
 
-// Workspace returns the workspace of a bearer token. The token is looked up by its SHA-256, so the time of the
-// lookup tells nothing about other tokens.
+// Workspace returns the workspace of a bearer token. The token is looked up by its SHA-256, so the duration of the
+// lookup reveals nothing about other tokens.
 func (x *Index) Workspace(token string) (*pb.Workspace, bool) {
 	workspace, ok := x.tokens[sha256.Sum256([]byte(token))]
 	return workspace, ok
@@ -181,15 +182,16 @@
 	return class, ok
 }
 
-// Policy returns the policy with the defaults filled in.
+// Policy returns the policy with defaults applied.
 func (x *Index) Policy() Policy { return x.policy }
 
-// Folder returns the merged folder, with the items of each kind in the order of their names.
+// Folder returns the merged configuration with the items of each kind sorted by name.
 func (x *Index) Folder() *pb.FolderFile { return x.folder }
 
-// Route returns the route of a call: the one with the longest prefix of the path after /s/{service}, and of
-// equal prefixes the one that names the method. The path is cleaned first, so that "/x/../bookings" cannot
-// avoid the route of "/bookings". A call without a route is neither non-repeatable nor idempotent.
+// Route returns the route that matches a call. path is the part of the URL path after /s/{service}; the longest
+// matching prefix wins, and among equal prefixes a route that names the method. The path is cleaned first, so that
+// "/x/../bookings" cannot bypass the route of "/bookings". A call that matches no route is neither non-repeatable nor
+// idempotent.
 func (s *Service) Route(method, path string) *pb.Route {
 	clean := cleanPath(path)
 	for _, route := range s.routes {
@@ -203,7 +205,7 @@
 	return &pb.Route{}
 }
 
-// MayUseModel reports whether the workspace may use the model; adapters follow their model.
+// MayUseModel reports whether the workspace may use the model. Permission for a model includes its adapters.
 func MayUseModel(workspace *pb.Workspace, model string) bool {
 	return len(workspace.Models) == 0 || slices.Contains(workspace.Models, model)
 }
@@ -213,17 +215,17 @@
 	return len(workspace.Services) == 0 || slices.Contains(workspace.Services, service)
 }
 
-// Share returns the weight of the workspace in fair queueing.
+// Share returns the weight of the workspace in fair queueing; an unset share counts as DefaultWorkspaceShare.
 func Share(workspace *pb.Workspace) uint32 { return max(workspace.Share, DefaultWorkspaceShare) }
 
-// Text returns the merged folder as indented JSON with the field names of the schema. Merging the text gives the
-// same folder.
+// Text returns the merged configuration as indented JSON with the field names of the schema. Merging the text again
+// yields the same configuration.
 func Text(folder *pb.FolderFile) ([]byte, error) {
 	compact, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(folder)
 	if err != nil {
 		return nil, fmt.Errorf("print configuration: %w", err)
 	}
-	// protojson varies its spacing on purpose, so the indentation comes from encoding/json.
+	// protojson deliberately varies its whitespace, so encoding/json does the indentation.
 	var out bytes.Buffer
 	if err := json.Indent(&out, compact, "", "  "); err != nil {
 		return nil, fmt.Errorf("print configuration: %w", err)
--- a/pkg/config/merge.go
+++ b/pkg/config/merge.go
@@ -6,9 +6,9 @@
 //   - A file's delete list is applied first, to the items of earlier files.
 //   - An item replaces an item of an earlier file as a whole, and only when it sets override. The same name twice
 //     in one file is always a conflict. An override of a name that no earlier file declares adds the item.
-//   - A policy field that a file states replaces the earlier value, even when the new value is zero or false.
+//   - A policy field that a file sets replaces the earlier value, even when the new value is zero or false.
 //
-// The package is pure: it reads no clock and does no I/O apart from LoadDir.
+// Apart from LoadDir, the package does no I/O, and it reads no clock.
 package config
 
 import (
@@ -26,22 +26,22 @@
 )
 
 const (
-	// WholeFolder is the file of a fault that no single file causes.
+	// WholeFolder takes the place of the file name in a fault that no single file causes.
 	WholeFolder = "(folder)"
-	// WholeFile is the field of a fault that concerns a file as a whole.
+	// WholeFile takes the place of the field in a fault that concerns a file as a whole.
 	WholeFile = "(file)"
 
-	// maxFileBytes bounds one file. The folder holds small files; a larger one is a mistake.
+	// maxFileBytes bounds the size of one file. Configuration files are small; a larger one is in the folder by mistake.
 	maxFileBytes = 1 << 20
-	// MaxSnapshotBytes bounds the encoded snapshot, which nodes send to each other in one message.
+	// MaxSnapshotBytes bounds the size of an encoded snapshot, which nodes send to each other in one message.
 	MaxSnapshotBytes = 2 << 20
 )
 
-// Fault is one reason why a folder is not accepted.
+// Fault is one reason why a folder revision is rejected.
 type Fault struct {
 	File string
-	// Field is a path: "models[0].name" for a fault in the text of a file, "models/NAME.field" for a fault in
-	// the merged result.
+	// Field is the path of the field: "models[0].name" for a fault found in one file, "models/NAME.field" for a
+	// fault found in the merged result.
 	Field  string
 	Reason string
 }
@@ -49,29 +49,29 @@
 // String returns "file: field: reason".
 func (f Fault) String() string { return f.File + ": " + f.Field + ": " + f.Reason }
 
-// named is an item of the folder with a name.
+// named is an item of the configuration that has a name.
 type named interface {
 	proto.Message
 	GetName() string
 	GetOverride() bool
 }
 
-// merger collects the items of the files that were read so far.
+// merger accumulates the items of the files merged so far.
 type merger struct {
-	// items maps a kind ("models") and a name to the item.
+	// items holds the items by kind ("models") and name.
 	items map[string]map[string]named
-	// origin maps "models/NAME" and "policy.FIELD" to the file that decided it.
+	// origin maps "models/NAME" and "policy.FIELD" to the file that its value comes from.
 	origin map[string]string
 	policy *pb.Policy
 	faults []Fault
 }
 
-// Merge merges the files in the order of their names and validates the result. The result is nil when there are
-// faults. Faults are in the order of the files; those of the merged result come last.
+// Merge merges the files in the order of their names and validates the result. The result is nil if there are
+// faults. Faults are in the order of the files; faults of the merged result come last.
 func Merge(files map[string][]byte) (*pb.FolderFile, []Fault) {
 	m := &merger{items: map[string]map[string]named{}, origin: map[string]string{}}
 	for _, name := range fileNames(files) {
-		m.file(name, files[name])
+		m.mergeFile(name, files[name])
 	}
 	if len(m.faults) > 0 {
 		return nil, m.faults
@@ -88,8 +88,8 @@
 	return merged, nil
 }
 
-// Reads reports whether Merge reads a file of this name.
-func Reads(name string) bool {
+// IsConfigFile reports whether Merge reads a file of this name.
+func IsConfigFile(name string) bool {
 	return strings.HasSuffix(name, ".json") && !strings.HasPrefix(name, ".") && !strings.Contains(name, "/")
 }
 
@@ -101,7 +101,7 @@
 	}
 	files := map[string][]byte{}
 	for _, entry := range entries {
-		if entry.IsDir() || !Reads(entry.Name()) {
+		if entry.IsDir() || !IsConfigFile(entry.Name()) {
 			continue
 		}
 		data, err := os.ReadFile(filepath.Join(dir, entry.Name()))
@@ -116,7 +116,7 @@
 func fileNames(files map[string][]byte) []string {
 	var names []string
 	for name := range files {
-		if Reads(name) {
+		if IsConfigFile(name) {
 			names = append(names, name)
 		}
 	}
@@ -124,8 +124,8 @@
 	return names
 }
 
-// file parses one file and merges it into the items of earlier files.
-func (m *merger) file(name string, data []byte) {
+// mergeFile parses one file and merges it into the items of earlier files.
+func (m *merger) mergeFile(name string, data []byte) {
 	parsed, faults := parse(name, data)
 	if len(faults) > 0 {
 		m.faults = append(m.faults, faults...)
@@ -179,7 +179,7 @@
 	m.origin[path] = file
 }
 
-// mergePolicy copies the fields that the file states, including those it states as zero.
+// mergePolicy copies the fields that the file sets, including those it sets to zero.
 func (m *merger) mergePolicy(file string, parsed *parsedFile) {
 	if parsed.msg.Policy == nil {
 		return
@@ -203,8 +203,8 @@
 	m.faults = append(m.faults, Fault{file, field, reason})
 }
 
-// result returns the merged folder with the items of each kind in the order of their names. Override marks are
-// cleared, so that the result is itself a valid file.
+// result returns the merged configuration with the items of each kind sorted by name. Override flags are cleared, so
+// that the result is itself a valid file.
 func (m *merger) result() *pb.FolderFile {
 	out := &pb.FolderFile{Policy: m.policy}
 	msg := out.ProtoReflect()
@@ -227,7 +227,7 @@
 	return out
 }
 
-// itemKinds are the fields of FolderFile with named items, in the order of the schema.
+// itemKinds are the fields of FolderFile that hold named items, in the order of the schema.
 var itemKinds = []string{"models", "workspaces", "services", "backend_groups", "instance_classes"}
 
 func itemsOf(file *pb.FolderFile, kind string) []named {
--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -18,18 +18,18 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// parsedFile is one file of the folder.
+// parsedFile is one parsed file of the folder.
 type parsedFile struct {
 	msg *pb.FolderFile
-	// policyFields has the numbers of the policy fields that the file states.
+	// policyFields is the set of policy fields that the file sets.
 	policyFields map[protoreflect.FieldNumber]bool
 }
 
-// maxDepth bounds the nesting of values. The schema needs 4 levels.
+// maxDepth bounds the nesting depth of JSON values. The schema needs 4 levels.
 const maxDepth = 16
 
-// parse reads one file. The text is first checked against the schema, because protojson names only a position
-// for a fault and operators need the field; protojson then decodes it.
+// parse parses one file. It checks the text against the schema before protojson decodes it, because protojson reports
+// only the position of an error and operators need the field.
 func parse(name string, data []byte) (*parsedFile, []Fault) {
 	if len(data) > maxFileBytes {
 		return nil, []Fault{{name, WholeFile, fmt.Sprintf("has %d bytes, more than %d", len(data), maxFileBytes)}}
@@ -48,14 +48,14 @@
 		return nil, c.faults
 	}
 	if err := protojson.Unmarshal(data, msg); err != nil {
-		// protojson separates words with a random choice of space characters.
+		// protojson randomly uses non-breaking spaces in its error messages.
 		reason := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 		return nil, []Fault{{name, WholeFile, reason}}
 	}
 	return &parsedFile{msg: msg, policyFields: c.policyFields}, nil
 }
 
-// syntaxReason adds the line to an error of the JSON decoder.
+// syntaxReason returns the reason of a fault for an error of the JSON decoder, with the line number if it is known.
 func syntaxReason(data []byte, err error) string {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return "the JSON text ends too early"
@@ -69,7 +69,7 @@
 	return err.Error()
 }
 
-// checker compares JSON text with a message type and collects faults with their field.
+// checker validates JSON text against a message type and collects faults with their field paths.
 type checker struct {
 	file         string
 	decoder      *json.Decoder
@@ -78,13 +78,14 @@
 }
 
 var (
-	plainKey = regexp.MustCompile(`^[A-Za-z0-9_-]{1,64}$`)
+	plainKeyPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{1,64}$`)
 
-	errTrailing = errors.New("text after the end of the JSON object")
-	errDepth    = errors.New("values are nested too deeply")
+	errTrailingData = errors.New("text after the end of the JSON object")
+	errTooDeep      = errors.New("values are nested too deeply")
 )
 
-// check returns an error only for text that is not JSON; all else becomes a fault.
+// check returns an error for text that cannot be read as one JSON value of at most maxDepth levels; deviations from the
+// schema become faults.
 func (c *checker) check(message protoreflect.MessageDescriptor) error {
 	token, err := c.decoder.Token()
 	if err != nil {
@@ -98,7 +99,7 @@
 		return err
 	}
 	if _, err := c.decoder.Token(); !errors.Is(err, io.EOF) {
-		return errTrailing
+		return errTrailingData
 	}
 	return nil
 }
@@ -110,10 +111,10 @@
 	c.faults = append(c.faults, Fault{c.file, field, reason})
 }
 
-// object checks the fields of an object whose opening brace has been read.
+// object checks the fields of an object whose opening brace has already been read.
 func (c *checker) object(message protoreflect.MessageDescriptor, path string, depth int) error {
 	if depth > maxDepth {
-		return errDepth
+		return errTooDeep
 	}
 	seen := map[protoreflect.FieldNumber]bool{}
 	for c.decoder.More() {
@@ -122,20 +123,20 @@
 			return err
 		}
 		key := token.(string) // the decoder accepts only strings as keys
-		field := fieldByName(message, key)
+		field := fieldByKey(message, key)
 		if field == nil {
-			c.fault(join(path, printable(key)), "unknown field")
+			c.fault(joinPath(path, quoteKey(key)), "unknown field")
 			if err := c.skip(depth); err != nil {
 				return err
 			}
 			continue
 		}
-		here := join(path, string(field.Name()))
+		fieldPath := joinPath(path, string(field.Name()))
 		if seen[field.Number()] {
-			c.fault(here, "field is stated twice")
+			c.fault(fieldPath, "field is stated twice")
 		}
 		seen[field.Number()] = true
-		if err := c.field(field, here, depth); err != nil {
+		if err := c.field(field, fieldPath, depth); err != nil {
 			return err
 		}
 	}
@@ -159,7 +160,7 @@
 	}
 	if token != json.Delim('[') {
 		c.fault(path, "must be a list")
-		return c.skipFrom(token, depth)
+		return c.skipRest(token, depth)
 	}
 	for i := 0; c.decoder.More(); i++ {
 		token, err := c.decoder.Token()
@@ -174,22 +175,22 @@
 	return err
 }
 
-// value checks one value whose first token has been read.
+// value checks one value whose first token has already been read.
 func (c *checker) value(field protoreflect.FieldDescriptor, token json.Token, path string, depth int) error {
 	if field.Kind() == protoreflect.MessageKind {
 		if token == json.Delim('{') {
 			return c.object(field.Message(), path, depth+1)
 		}
 		c.fault(path, "must be an object")
-		return c.skipFrom(token, depth)
+		return c.skipRest(token, depth)
 	}
 	if reason := scalarReason(field, token); reason != "" {
 		c.fault(path, reason)
 	}
-	return c.skipFrom(token, depth)
+	return c.skipRest(token, depth)
 }
 
-// scalarReason returns why the token is not a value of the field, or "".
+// scalarReason returns why the token is not a valid value of the field, or "" if it is valid.
 func scalarReason(field protoreflect.FieldDescriptor, token json.Token) string {
 	switch field.Kind() {
 	case protoreflect.BoolKind:
@@ -222,8 +223,8 @@
 	return "must be one of " + strings.Join(names, ", ")
 }
 
-// numberReason accepts whole numbers, also as strings, which is how protojson prints 64-bit numbers.
-func numberReason(token json.Token, bits int, largest uint64) string {
+// numberReason accepts unsigned integers, also as strings, because protojson writes 64-bit integers as strings.
+func numberReason(token json.Token, bits int, maxValue uint64) string {
 	var text string
 	switch value := token.(type) {
 	case json.Number:
@@ -232,27 +233,27 @@
 		text = value
 	}
 	if _, err := strconv.ParseUint(text, 10, bits); err != nil {
-		return fmt.Sprintf("must be a whole number from 0 to %d", largest)
+		return fmt.Sprintf("must be a whole number from 0 to %d", maxValue)
 	}
 	return ""
 }
 
-// skip reads one value.
+// skip reads and discards one value.
 func (c *checker) skip(depth int) error {
 	token, err := c.decoder.Token()
 	if err != nil {
 		return err
 	}
-	return c.skipFrom(token, depth)
+	return c.skipRest(token, depth)
 }
 
-// skipFrom reads the rest of a value whose first token has been read.
-func (c *checker) skipFrom(token json.Token, depth int) error {
+// skipRest reads and discards the rest of a value whose first token has already been read.
+func (c *checker) skipRest(token json.Token, depth int) error {
 	if token != json.Delim('{') && token != json.Delim('[') {
 		return nil
 	}
 	if depth > maxDepth {
-		return errDepth
+		return errTooDeep
 	}
 	for c.decoder.More() {
 		if err := c.skip(depth + 1); err != nil {
@@ -263,23 +264,23 @@
 	return err
 }
 
-// fieldByName accepts the name of the schema and its lower camel case form, as protojson does.
-func fieldByName(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
+// fieldByKey accepts the field name of the schema and its lowerCamelCase form, as protojson does.
+func fieldByKey(message protoreflect.MessageDescriptor, key string) protoreflect.FieldDescriptor {
 	if field := message.Fields().ByName(protoreflect.Name(key)); field != nil {
 		return field
 	}
 	return message.Fields().ByJSONName(key)
 }
 
-// printable quotes a key that would make the line of a fault unreadable.
-func printable(key string) string {
-	if plainKey.MatchString(key) {
+// quoteKey quotes a key whose characters or length would make the line of a fault unreadable.
+func quoteKey(key string) string {
+	if plainKeyPattern.MatchString(key) {
 		return key
 	}
 	return strconv.Quote(key)
 }
 
-func join(path, field string) string {
+func joinPath(path, field string) string {
 	if path == "" {
 		return field
 	}
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -10,7 +10,7 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// Largest accepted values. They are far above any sensible setting and catch mistyped units.
+// Upper limits of values. They are far above any sensible setting and catch values given in the wrong unit.
 const (
 	maxContextTokens    = 16 << 20
 	maxWeightsMiB       = 16 << 20
@@ -22,7 +22,7 @@
 	maxAccelerators     = 1024
 	maxLatencyMS        = 600_000
 	maxRetentionSeconds = 86_400
-	// An outcome must be kept longer than a caller keeps retrying with the same key.
+	// An outcome must be kept for longer than a caller retries with the same idempotency key.
 	minOutcomeRetentionSeconds = 60
 	maxOutcomeRetentionSeconds = 30 * 86_400
 	maxBodyKiB                 = 65_536
@@ -37,33 +37,34 @@
 	methods      = []string{"", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
 
-// validator checks the merged folder.
+// validator checks the merged configuration.
 type validator struct {
-	merged  *pb.FolderFile
-	origin  map[string]string
-	faults  []Fault
-	models  map[string]*pb.Model
-	service map[string]*pb.Service
-	groups  map[string]*pb.BackendGroup
-	classes map[string]*pb.InstanceClass
+	merged   *pb.FolderFile
+	origin   map[string]string
+	faults   []Fault
+	models   map[string]*pb.Model
+	services map[string]*pb.Service
+	groups   map[string]*pb.BackendGroup
+	classes  map[string]*pb.InstanceClass
 }
 
-// validate returns the faults of the merged folder. origin names the file that decided each item.
+// validate returns the faults of the merged configuration. origin maps each item and policy field to the file that it
+// comes from.
 func validate(merged *pb.FolderFile, origin map[string]string) []Fault {
 	v := &validator{
-		merged:  merged,
-		origin:  origin,
-		models:  byName(merged.Models),
-		service: byName(merged.Services),
-		groups:  byName(merged.BackendGroups),
-		classes: byName(merged.InstanceClasses),
+		merged:   merged,
+		origin:   origin,
+		models:   byName(merged.Models),
+		services: byName(merged.Services),
+		groups:   byName(merged.BackendGroups),
+		classes:  byName(merged.InstanceClasses),
 	}
 	for _, model := range merged.Models {
 		v.model(model)
 	}
 	v.workspaces()
 	for _, service := range merged.Services {
-		v.serviceItem(service)
+		v.service(service)
 	}
 	for _, group := range merged.BackendGroups {
 		v.group(group)
@@ -83,7 +84,7 @@
 	return out
 }
 
-// fault adds a fault of a field of an item such as "models/NAME".
+// fault records a fault in a field of an item such as "models/NAME".
 func (v *validator) fault(item, field, format string, args ...any) {
 	file, ok := v.origin[item]
 	if !ok {
@@ -176,13 +177,13 @@
 		}
 	}
 	for i, name := range workspace.Services {
-		if _, ok := v.service[name]; !ok {
+		if _, ok := v.services[name]; !ok {
 			v.fault(item, fmt.Sprintf("services[%d]", i), "no service %q", name)
 		}
 	}
 }
 
-func (v *validator) serviceItem(service *pb.Service) {
+func (v *validator) service(service *pb.Service) {
 	item := "services/" + service.Name
 	v.name(item, service.Name)
 	v.groupRef(item, service.BackendGroup, pb.BackendGroup_PLAIN_SERVICE)
@@ -207,8 +208,8 @@
 	}
 }
 
-// pathReason returns why the text cannot be a path prefix, or "". Paths are cleaned before they are matched, so
-// a prefix that is not clean would never match.
+// pathReason returns why the text is not a valid path prefix, or "" if it is valid. Paths are cleaned before they are
+// matched, so a prefix that is not clean would never match.
 func pathReason(prefix string) string {
 	if !strings.HasPrefix(prefix, "/") {
 		return "must start with /"
