--- a/pkg/configstore/accept.go
+++ b/pkg/configstore/accept.go
@@ -13,16 +13,17 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// writeTries is how often one pass repeats a write whose outcome is unknown. The next pass continues.
-const writeTries = 4
+// maxWriteAttempts bounds the attempts of a write whose outcome is unknown. The next read of the folder tries again.
+const maxWriteAttempts = 4
 
-// readBackTries is how often a conflict is read back; reads may lag by a few seconds.
-const readBackTries = 4
+// maxReadBackAttempts bounds the reads after a conflict; reads may lag by a few seconds.
+const maxReadBackAttempts = 4
 
-// acceptTries is how often one pass tries to replace rows of older revisions that other readers write meanwhile.
-const acceptTries = 4
+// maxAcceptAttempts bounds the attempts to replace rows of older revisions that other nodes write concurrently.
+const maxAcceptAttempts = 4
 
-// checkFolder reads the folder once and accepts its revision if it is higher than the accepted one.
+// checkFolder reads the folder once. If its revision is higher than the accepted one, it is accepted, or rejected if it
+// has faults.
 func (s *Store) checkFolder(ctx context.Context) error {
 	state, err := s.readFolder(ctx)
 	if err != nil {
@@ -63,12 +64,12 @@
 	return s.o.Objects.Put(ctx, digest, data)
 }
 
-// isNew reports whether a folder revision is neither accepted nor known to have faults.
+// isNew reports whether a folder revision is higher than the accepted one and not known to have faults.
 func (s *Store) isNew(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.SeenRevision = max(s.status.SeenRevision, revision)
-	if now := s.Current(); now != nil && revision <= now.FolderRevision {
+	if current := s.Current(); current != nil && revision <= current.FolderRevision {
 		return false
 	}
 	if s.row.value != nil && revision <= s.row.value.FolderRevision {
@@ -88,16 +89,16 @@
 	s.log("msg", "folder revision is not accepted", "folder_revision", revision, "faults", len(faults), "first", faults[0])
 }
 
-// accept replaces the row. It returns nil when the revision, or a higher one, is accepted. A reader that saw an older
-// revision may write first; the row is then replaced again at once, because the next pass is a FolderInterval away.
+// accept replaces the row. It returns nil once the revision or a higher one is accepted and in force. A node that read
+// an older revision may write its row first; that row is then replaced at once rather than a FolderInterval later.
 func (s *Store) accept(ctx context.Context, revision uint64, digest string, data []byte) error {
 	row, err := s.readRow(ctx)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return fmt.Errorf("read row: %w", err)
 	}
-	for range acceptTries {
+	for range maxAcceptAttempts {
 		if row.value.GetFolderRevision() >= revision {
-			return s.obtainOwn(ctx, row.value, digest, data)
+			return s.adoptRow(ctx, row.value, digest, data)
 		}
 		accepted := &pb.AcceptedVersion{
 			Version:        max(row.value.GetVersion(), s.currentVersion()) + 1,
@@ -106,7 +107,7 @@
 		}
 		written, err := s.writeRow(ctx, row, accepted)
 		if err == nil {
-			s.sawRow(seenRow{written, accepted})
+			s.recordRow(observedRow{written, accepted})
 			s.log("msg", "folder revision accepted", "folder_revision", revision, "version", accepted.Version)
 			return s.adopt(accepted, data, true)
 		}
@@ -121,9 +122,9 @@
 	return errors.New("other readers replaced the row at each try")
 }
 
-// writeRow replaces the row if it is still the one that was read. A write with an unknown outcome is repeated
-// with the same condition: only one copy can succeed.
-func (s *Store) writeRow(ctx context.Context, read seenRow, accepted *pb.AcceptedVersion) (uint64, error) {
+// writeRow replaces the row if it is still the one that was read. A write with an unknown outcome is retried with the
+// same condition, so that only one of the attempts can succeed.
+func (s *Store) writeRow(ctx context.Context, read observedRow, accepted *pb.AcceptedVersion) (uint64, error) {
 	value, err := proto.Marshal(accepted)
 	if err != nil {
 		return 0, err
@@ -133,8 +134,8 @@
 		condition = platform.Condition{Kind: platform.Absent}
 	}
 	mutation := platform.Mutation{Table: TableName, Key: RowKey, Value: value, If: condition}
-	for try := range writeTries {
-		if try > 0 && !clock.Sleep(ctx, s.backoff(try-1)) {
+	for attempt := range maxWriteAttempts {
+		if attempt > 0 && !clock.Sleep(ctx, s.backoff(attempt-1)) {
 			return 0, ctx.Err()
 		}
 		var versions []uint64
@@ -156,52 +157,52 @@
 	return s.o.Table.Commit(ctx, []platform.Mutation{mutation})
 }
 
-// readBack reads the row after a conflict until it shows a newer row version than the condition named. The
-// newer row is the own write with a lost answer or that of another node.
-func (s *Store) readBack(ctx context.Context, old uint64) (seenRow, error) {
-	for try := range readBackTries {
+// readBack reads the row after a conflict until its row version is higher than that of the failed condition. The newer
+// row was written by another node, or by an earlier attempt of this node whose response was lost.
+func (s *Store) readBack(ctx context.Context, old uint64) (observedRow, error) {
+	for attempt := range maxReadBackAttempts {
 		row, err := s.readRow(ctx)
 		if err == nil && row.version > old {
 			return row, nil
 		}
-		if !clock.Sleep(ctx, s.backoff(try)) {
-			return seenRow{}, ctx.Err()
+		if !clock.Sleep(ctx, s.backoff(attempt)) {
+			return observedRow{}, ctx.Err()
 		}
 	}
-	return seenRow{}, errors.New("row was changed by another writer and cannot be read back yet")
+	return observedRow{}, errors.New("row was changed by another writer and cannot be read back yet")
 }
 
-// obtainOwn puts the version of the row in force, from the own snapshot if it is that one.
-func (s *Store) obtainOwn(ctx context.Context, accepted *pb.AcceptedVersion, digest string, data []byte) error {
+// adoptRow puts the version of the row in force. It uses data if that is the row's snapshot and fetches it otherwise.
+func (s *Store) adoptRow(ctx context.Context, accepted *pb.AcceptedVersion, digest string, data []byte) error {
 	if accepted.Digest == digest {
 		return s.adopt(accepted, data, true)
 	}
-	return s.obtain(ctx, accepted, nil, true)
+	return s.fetchAndAdopt(ctx, accepted, nil, true)
 }
 
-// readRow returns the newest row that this node knows after one read. A read that shows an older row than an
-// earlier read is stale. ErrNotFound is returned with an empty row, also when an earlier read showed one: the
-// row may have been deleted, and a write on the condition that it is absent does no harm otherwise.
-func (s *Store) readRow(ctx context.Context) (seenRow, error) {
+// readRow reads the row once and returns the newest row that this node has observed: a read that returns an older row
+// than an earlier read is stale. It returns ErrNotFound with an empty row even if an earlier read found one: the row
+// may have been deleted, and if it was not, a write on the condition that it is absent has no effect.
+func (s *Store) readRow(ctx context.Context) (observedRow, error) {
 	s.count(func(c *Counts) { c.RowReads++ })
 	ctx, cancel := context.WithTimeout(ctx, s.timing.PlatformTimeout)
 	defer cancel()
 	row, err := s.o.Table.Get(ctx, TableName, RowKey)
 	if err != nil {
-		return seenRow{}, err
+		return observedRow{}, err
 	}
 	value := &pb.AcceptedVersion{}
 	if err := proto.Unmarshal(row.Value, value); err != nil {
-		return seenRow{}, fmt.Errorf("decode row: %w", err)
+		return observedRow{}, fmt.Errorf("decode row: %w", err)
 	}
 	if value.Version == 0 || value.Digest == "" {
-		return seenRow{}, errors.New("decode row: version or digest is missing")
+		return observedRow{}, errors.New("decode row: version or digest is missing")
 	}
-	return s.sawRow(seenRow{row.Version, value}), nil
+	return s.recordRow(observedRow{row.Version, value}), nil
 }
 
-// sawRow remembers a row and returns the newest one seen.
-func (s *Store) sawRow(row seenRow) seenRow {
+// recordRow records a row and returns the newest one observed so far.
+func (s *Store) recordRow(row observedRow) observedRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row.version > s.row.version {
--- a/pkg/configstore/fetch.go
+++ b/pkg/configstore/fetch.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// startPeers is how many peers a node without a configuration asks; it takes the highest version.
-	startPeers = 3
-	// otherPeers is how many peers are asked after those that announced the version.
-	otherPeers = 2
-	// mostAnnouncers bounds the peers that are remembered for one version.
-	mostAnnouncers = 3
-	// offerTries is how often an announced version is looked for before it is forgotten. A version that exists
-	// is announced again or found in the row.
-	offerTries = 8
+	// startupPeers is the number of peers that a node without a configuration queries; it adopts the highest version.
+	startupPeers = 3
+	// extraPeers is the number of peers queried after those that announced the version.
+	extraPeers = 2
+	// maxAnnouncers bounds the announcing peers that are kept for one version.
+	maxAnnouncers = 3
+	// maxFetchAttempts bounds the attempts to fetch an announced version before the announcement is discarded. An
+	// accepted version is announced again or found in the row.
+	maxFetchAttempts = 8
 )
 
 var errNotFetched = errors.New("no peer and no object has the snapshot")
 
-// Offer notes a version that a peer has announced. Run fetches it from that peer, from others or from the
-// object store. Offer never blocks, and the same announcement may come any number of times.
+// Offer records a version that a peer has announced. Run fetches it from that peer, from other peers or from the object
+// store. Offer does not wait for the fetch, and repeated announcements are harmless.
 func (s *Store) Offer(_ context.Context, version uint64, digest, fromPeer string) {
 	if version <= s.currentVersion() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version < s.wanted.version {
+	if version < s.announced.version {
 		return
 	}
-	if version > s.wanted.version {
-		s.wanted = wanted{version: version, digest: digest}
+	if version > s.announced.version {
+		s.announced = announcement{version: version, digest: digest}
 	}
-	if fromPeer != "" && len(s.wanted.peers) < mostAnnouncers && !slices.Contains(s.wanted.peers, fromPeer) {
-		s.wanted.peers = append(s.wanted.peers, fromPeer)
+	if fromPeer != "" && len(s.announced.peers) < maxAnnouncers && !slices.Contains(s.announced.peers, fromPeer) {
+		s.announced.peers = append(s.announced.peers, fromPeer)
 	}
 	select {
 	case s.wake <- struct{}{}:
@@ -48,31 +48,31 @@
 	}
 }
 
-// nextWanted returns the announced version that is still to be fetched.
-func (s *Store) nextWanted() (wanted, bool) {
+// nextAnnounced returns the announced version that is still to be fetched and counts the attempt.
+func (s *Store) nextAnnounced() (announcement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wanted.version <= s.currentVersion() || s.wanted.tries >= offerTries {
-		s.wanted = wanted{}
-		return wanted{}, false
+	if s.announced.version <= s.currentVersion() || s.announced.attempts >= maxFetchAttempts {
+		s.announced = announcement{}
+		return announcement{}, false
 	}
-	s.wanted.tries++
-	out := s.wanted
-	out.peers = slices.Clone(s.wanted.peers)
+	s.announced.attempts++
+	out := s.announced
+	out.peers = slices.Clone(s.announced.peers)
 	return out, true
 }
 
-// obtain fetches the snapshot of an accepted version and puts it in force. It asks the given peers, then other
-// peers, then the object store, so that a change costs few reads of the object store at any number of nodes.
-func (s *Store) obtain(ctx context.Context, accepted *pb.AcceptedVersion, peers []string, fromRow bool) error {
-	if now := s.Current(); now != nil && !replaces(accepted, now, fromRow) {
+// fetchAndAdopt fetches the snapshot of an accepted version and puts it in force. It tries the given peers, then other
+// peers, then the object store, so that a change causes few object reads regardless of the number of nodes.
+func (s *Store) fetchAndAdopt(ctx context.Context, accepted *pb.AcceptedVersion, peers []string, fromRow bool) error {
+	if current := s.Current(); current != nil && !replaces(accepted, current, fromRow) {
 		return nil
 	}
-	for _, peer := range s.sources(peers) {
+	for _, peer := range s.snapshotSources(peers) {
 		if err := s.fetchFromPeer(ctx, peer, accepted, fromRow); err != nil {
-			s.failed("fetch configuration from "+peer, err)
+			s.recordFailure("fetch configuration from "+peer, err)
 		}
-		if now := s.Current(); now != nil && !replaces(accepted, now, fromRow) {
+		if current := s.Current(); current != nil && !replaces(accepted, current, fromRow) {
 			return nil
 		}
 	}
@@ -83,12 +83,12 @@
 	return s.adopt(accepted, data, fromRow)
 }
 
-func (s *Store) sources(first []string) []string {
+func (s *Store) snapshotSources(first []string) []string {
 	if s.o.Peers == nil {
 		return nil
 	}
 	out := slices.Clone(first)
-	for _, peer := range s.o.Peers.Sample(otherPeers) {
+	for _, peer := range s.o.Peers.Sample(extraPeers) {
 		if !slices.Contains(out, peer) {
 			out = append(out, peer)
 		}
@@ -103,15 +103,15 @@
 	return s.o.Objects.Get(ctx, digest)
 }
 
-// fetchFromPeer asks one peer and adopts its version if it is higher than the own one. want is the version that
-// is looked for, or nil.
+// fetchFromPeer queries one peer and adopts its version if it is higher than that of this node. want is the version
+// that is being fetched, or nil for any.
 func (s *Store) fetchFromPeer(ctx context.Context, peer string, want *pb.AcceptedVersion, fromRow bool) error {
 	s.count(func(c *Counts) { c.PeerFetches++ })
 	ctx, cancel := context.WithTimeout(ctx, s.timing.PeerTimeout)
 	defer cancel()
 	have := s.currentVersion()
 	if fromRow && want.GetVersion() == have && have > 0 {
-		have-- // the row states another digest for the version in force
+		have-- // the row has another digest for the version in force
 	}
 	state, err := s.o.Peers.FetchConfig(ctx, peer, &pb.ConfigFetch{HaveVersion: have})
 	if err != nil {
@@ -126,36 +126,36 @@
 	if state.Version == want.GetVersion() && state.Digest != want.GetDigest() {
 		return fmt.Errorf("%w: version %d has digest %s instead of %s", errMismatch, state.Version, state.Digest, want.GetDigest())
 	}
-	told := &pb.AcceptedVersion{Version: state.Version, FolderRevision: state.FolderRevision, Digest: state.Digest}
-	return s.adopt(told, state.Snapshot, fromRow && told.Version == want.GetVersion())
+	reported := &pb.AcceptedVersion{Version: state.Version, FolderRevision: state.FolderRevision, Digest: state.Digest}
+	return s.adopt(reported, state.Snapshot, fromRow && reported.Version == want.GetVersion())
 }
 
-// refresh reads the row and fetches its version if it is higher than the own one.
+// refresh reads the row and adopts its version if it replaces the one in force.
 func (s *Store) refresh(ctx context.Context) error {
 	row, err := s.readRow(ctx)
 	if err != nil {
 		return fmt.Errorf("read row: %w", err)
 	}
-	return s.obtain(ctx, row.value, nil, true)
+	return s.fetchAndAdopt(ctx, row.value, nil, true)
 }
 
-// askPeers asks up to n peers at once and takes the highest version.
-func (s *Store) askPeers(ctx context.Context, n int) {
+// queryPeers queries up to n peers concurrently and adopts the highest version.
+func (s *Store) queryPeers(ctx context.Context, n int) {
 	if s.o.Peers == nil {
 		return
 	}
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, peer := range s.o.Peers.Sample(n) {
-		group.Go(func() {
+		wg.Go(func() {
 			if err := s.fetchFromPeer(ctx, peer, nil, false); err != nil {
-				s.failed("fetch configuration from "+peer, err)
+				s.recordFailure("fetch configuration from "+peer, err)
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 }
 
-// accepted returns the announced version; its folder revision is known only from the snapshot.
-func (w wanted) accepted() *pb.AcceptedVersion {
-	return &pb.AcceptedVersion{Version: w.version, Digest: w.digest}
+// accepted returns the announced version without its folder revision, which is known only from the snapshot.
+func (a announcement) accepted() *pb.AcceptedVersion {
+	return &pb.AcceptedVersion{Version: a.version, Digest: a.digest}
 }
--- a/pkg/configstore/harness_test.go
+++ b/pkg/configstore/harness_test.go
@@ -29,14 +29,14 @@
 	os.Exit(m.Run())
 }
 
-// folder is an operators' folder whose reads may be stale.
+// folder is an operators' folder that records all its revisions.
 type folder struct {
 	mu     sync.Mutex
 	states []platform.FolderState
 	at     []time.Time
 }
 
-// edit adds a revision. An invalid one names a missing backend group.
+// edit adds a revision. An invalid one refers to a missing backend group.
 func (f *folder) edit(valid bool) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,23 +51,23 @@
 	return revision
 }
 
-// folderView is the folder as one node sees it: late by a fixed time, or down.
+// folderView is the folder as one node reads it: with a fixed lag, or unavailable.
 type folderView struct {
 	f    *folder
-	late time.Duration
+	lag  time.Duration
 	down bool
 	mu   sync.Mutex
 }
 
-func (v *folderView) set(late time.Duration, down bool) {
+func (v *folderView) set(lag time.Duration, down bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.late, v.down = late, down
+	v.lag, v.down = lag, down
 }
 
 func (v *folderView) Read(context.Context) (platform.FolderState, error) {
 	v.mu.Lock()
-	late, down := v.late, v.down
+	lag, down := v.lag, v.down
 	v.mu.Unlock()
 	if down {
 		return platform.FolderState{}, platform.ErrUnavailable
@@ -75,14 +75,14 @@
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
 	for i := len(v.f.states) - 1; i >= 0; i-- {
-		if i == 0 || time.Since(v.f.at[i]) >= late {
+		if i == 0 || time.Since(v.f.at[i]) >= lag {
 			return v.f.states[i], nil
 		}
 	}
 	return platform.FolderState{}, platform.ErrUnavailable
 }
 
-// node is one store with its own view of the platform.
+// node is one store with its own clients of the platform.
 type node struct {
 	name   string
 	c      *cluster
@@ -94,8 +94,8 @@
 	mu     sync.Mutex
 }
 
-// cluster is a set of nodes with a stand-in of gossip: a push to 3 peers, another after 300 ms, and an exchange
-// of the newest version with one peer per second.
+// cluster is a set of nodes with simulated gossip: each change is pushed to 3 peers twice, 300 ms apart, and each node
+// exchanges the newest version with one peer per second.
 type cluster struct {
 	folder  *folder
 	table   *table.Table
@@ -103,7 +103,7 @@
 	nodes   []*node
 	latency time.Duration
 	timing  Timing
-	// failure is the first violation seen.
+	// failure describes the first violation observed.
 	mu      sync.Mutex
 	failure string
 }
@@ -150,10 +150,10 @@
 	}
 }
 
-func (n *node) draw(most int) int {
+func (n *node) randIntN(limit int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rand.IntN(most)
+	return n.rand.IntN(limit)
 }
 
 func (n *node) start(ctx context.Context, leader bool) {
@@ -165,19 +165,19 @@
 		Peers:   n,
 		Node:    n.name,
 		Leader:  func() bool { return leader },
-		Rand:    rand.New(rand.NewPCG(uint64(n.draw(1<<30)), 1)),
+		Rand:    rand.New(rand.NewPCG(uint64(n.randIntN(1<<30)), 1)),
 		Timing:  n.c.timing,
 	})
 	n.mu.Lock()
 	n.store = store
 	n.mu.Unlock()
 	last := uint64(0)
-	store.Watch(func(now *InForce) {
-		if now.Version <= last {
-			n.c.fail("%s: version %d after %d", n.name, now.Version, last)
+	store.Watch(func(current *InForce) {
+		if current.Version <= last {
+			n.c.fail("%s: version %d after %d", n.name, current.Version, last)
 		}
-		last = now.Version
-		go n.push(ctx, store, now)
+		last = current.Version
+		go n.push(ctx, store, current)
 	})
 	go store.Run(ctx)
 	go n.exchange(ctx, store)
@@ -193,13 +193,13 @@
 
 func (n *node) version() uint64 { return n.current().currentVersion() }
 
-func (n *node) push(ctx context.Context, store *Store, now *InForce) {
+func (n *node) push(ctx context.Context, store *Store, current *InForce) {
 	for range 2 {
 		if !clock.Sleep(ctx, n.c.latency) {
 			return
 		}
 		for _, peer := range n.Sample(3) {
-			n.peer(peer).current().Offer(ctx, now.Version, now.Digest, n.name)
+			n.peer(peer).current().Offer(ctx, current.Version, current.Digest, n.name)
 		}
 		if !clock.Sleep(ctx, 300*time.Millisecond) {
 			return
@@ -208,10 +208,10 @@
 }
 
 func (n *node) exchange(ctx context.Context, store *Store) {
-	for clock.Sleep(ctx, time.Duration(900+n.draw(200))*time.Millisecond) {
+	for clock.Sleep(ctx, time.Duration(900+n.randIntN(200))*time.Millisecond) {
 		for _, peer := range n.Sample(1) {
-			if now := store.Current(); now != nil {
-				n.peer(peer).current().Offer(ctx, now.Version, now.Digest, n.name)
+			if current := store.Current(); current != nil {
+				n.peer(peer).current().Offer(ctx, current.Version, current.Digest, n.name)
 			}
 			if theirs := n.peer(peer).current().Current(); theirs != nil {
 				store.Offer(ctx, theirs.Version, theirs.Digest, peer)
@@ -233,7 +233,7 @@
 func (n *node) Sample(count int) []string {
 	var out []string
 	for len(out) < min(count, len(n.c.nodes)-1) {
-		other := n.c.nodes[n.draw(len(n.c.nodes))]
+		other := n.c.nodes[n.randIntN(len(n.c.nodes))]
 		if other != n && !slices.Contains(out, other.name) {
 			out = append(out, other.name)
 		}
@@ -250,12 +250,12 @@
 	return proto.Clone(state).(*pb.ConfigState), nil
 }
 
-// observe checks the row every 25 ms: neither the version nor the folder revision may fall.
+// observe checks every 25 ms that neither the version nor the folder revision of the row decreases.
 func (c *cluster) observe(ctx context.Context) {
 	view := c.table.NewClient("observer")
 	last := &pb.AcceptedVersion{}
 	for clock.Sleep(ctx, 25*time.Millisecond) {
-		now, err := readRow(view)
+		current, err := readRow(view)
 		if errors.Is(err, platform.ErrNotFound) {
 			continue
 		}
@@ -263,11 +263,11 @@
 			c.fail("read row: %v", err)
 			return
 		}
-		rises := now.Version > last.Version && now.FolderRevision > last.FolderRevision
-		if !rises && !proto.Equal(now, last) {
-			c.fail("row went from %v to %v", last, now)
+		advanced := current.Version > last.Version && current.FolderRevision > last.FolderRevision
+		if !advanced && !proto.Equal(current, last) {
+			c.fail("row changed from %v to %v", last, current)
 		}
-		last = now
+		last = current
 	}
 }
 
@@ -280,19 +280,20 @@
 	return value, proto.Unmarshal(row.Value, value)
 }
 
-// inForceEverywhere waits until every node has the folder revision and returns how long it took.
-func (c *cluster) inForceEverywhere(revision uint64, most time.Duration) (time.Duration, bool) {
-	began := time.Now()
-	for time.Since(began) < most {
+// waitInForceEverywhere waits until the folder revision or a higher one is in force on every node, and returns the
+// time that it took and whether it was reached within the timeout.
+func (c *cluster) waitInForceEverywhere(revision uint64, timeout time.Duration) (time.Duration, bool) {
+	started := time.Now()
+	for time.Since(started) < timeout {
 		done := true
 		for _, n := range c.nodes {
-			now := n.current().Current()
-			done = done && now != nil && now.FolderRevision >= revision
+			current := n.current().Current()
+			done = done && current != nil && current.FolderRevision >= revision
 		}
 		if done {
-			return time.Since(began), true
+			return time.Since(started), true
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return most, false
+	return timeout, false
 }
--- a/pkg/configstore/run.go
+++ b/pkg/configstore/run.go
@@ -11,19 +11,19 @@
 
 // Run keeps the configuration up to date until the context ends.
 func (s *Store) Run(ctx context.Context) {
-	var group sync.WaitGroup
-	group.Go(func() { s.watchFolder(ctx) })
-	group.Go(func() { s.watchRow(ctx) })
-	group.Go(func() { s.fetchOffers(ctx) })
-	group.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { s.watchFolder(ctx) })
+	wg.Go(func() { s.watchRow(ctx) })
+	wg.Go(func() { s.watchAnnouncements(ctx) })
+	wg.Wait()
 }
 
-// watchFolder reads the folder while this node is one of the readers. Failures make it read less often.
+// watchFolder reads the folder periodically while this node is one of its readers. It backs off after failures.
 func (s *Store) watchFolder(ctx context.Context) {
 	failures := 0
 	for {
 		if s.o.Leader() {
-			failures = s.outcome("check folder", s.checkFolder(ctx), failures)
+			failures = s.recordOutcome("check folder", s.checkFolder(ctx), failures)
 		}
 		delay := s.jitter(s.timing.FolderInterval)
 		if failures > 0 {
@@ -35,76 +35,76 @@
 	}
 }
 
-// watchRow starts the node and then reads the row from time to time, in case announcements were lost. While the
-// row cannot be read, it asks a peer instead.
+// watchRow obtains the first configuration and then reads the row periodically, in case announcements were lost. While
+// the row cannot be read, it queries a peer instead.
 func (s *Store) watchRow(ctx context.Context) {
-	if !s.start(ctx) {
+	if !s.bootstrap(ctx) {
 		return
 	}
 	interval := s.timing.RowInterval
 	for clock.Sleep(ctx, s.jitter(interval)) {
 		interval = s.timing.RowInterval
 		if err := s.refresh(ctx); err != nil {
-			s.failed("refresh configuration", err)
-			s.askPeers(ctx, 1)
+			s.recordFailure("refresh configuration", err)
+			s.queryPeers(ctx, 1)
 			interval = s.timing.OutageInterval
 		}
 	}
 }
 
-// start asks the row and three peers until some version is in force. Both are asked at once, so that a node that
-// starts during an outage does not wait for the row.
-func (s *Store) start(ctx context.Context) bool {
-	for try := 0; ; try++ {
-		var group sync.WaitGroup
-		group.Go(func() { s.askPeers(ctx, startPeers) })
-		group.Go(func() {
+// bootstrap reads the row and queries startupPeers peers until some version is in force. It does both concurrently, so
+// that a node that starts during an outage does not wait for the row. It returns false if ctx ends first.
+func (s *Store) bootstrap(ctx context.Context) bool {
+	for attempt := 0; ; attempt++ {
+		var wg sync.WaitGroup
+		wg.Go(func() { s.queryPeers(ctx, startupPeers) })
+		wg.Go(func() {
 			if err := s.refresh(ctx); err != nil && !errors.Is(err, platform.ErrNotFound) {
-				s.failed("refresh configuration", err)
+				s.recordFailure("refresh configuration", err)
 			}
 		})
-		group.Wait()
+		wg.Wait()
 		if s.Current() != nil {
 			return true
 		}
-		if !clock.Sleep(ctx, s.backoff(try)) {
+		if !clock.Sleep(ctx, s.backoff(attempt)) {
 			return false
 		}
 	}
 }
 
-// fetchOffers fetches announced versions.
-func (s *Store) fetchOffers(ctx context.Context) {
+// watchAnnouncements fetches announced versions.
+func (s *Store) watchAnnouncements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.wake:
 		}
-		s.fetchWanted(ctx)
+		s.fetchAnnounced(ctx)
 	}
 }
 
-// fetchWanted returns when no announced version is left to fetch.
-func (s *Store) fetchWanted(ctx context.Context) {
+// fetchAnnounced fetches the announced version, with backoff after failures, until none is left to fetch.
+func (s *Store) fetchAnnounced(ctx context.Context) {
 	failures := 0
 	for {
-		want, ok := s.nextWanted()
+		want, ok := s.nextAnnounced()
 		if !ok {
 			return
 		}
-		failures = s.outcome("fetch configuration", s.obtain(ctx, want.accepted(), want.peers, false), failures)
+		failures = s.recordOutcome("fetch configuration", s.fetchAndAdopt(ctx, want.accepted(), want.peers, false), failures)
 		if failures > 0 && !clock.Sleep(ctx, s.backoff(failures-1)) {
 			return
 		}
 	}
 }
 
-// outcome records a failure and returns the number of failures in a row.
-func (s *Store) outcome(doing string, err error, failures int) int {
+// recordOutcome records err if it is not nil and returns the number of consecutive failures.
+func (s *Store) recordOutcome(operation string, err error, failures int) int {
 	if err == nil {
 		return 0
 	}
-	s.failed(doing, err)
+	s.recordFailure(operation, err)
 	return failures + 1
 }
--- a/pkg/configstore/store.go
+++ b/pkg/configstore/store.go
@@ -1,24 +1,28 @@
-// Package configstore keeps the configuration that is in force on one node.
+// Package configstore maintains the configuration that is in force on one node.
 //
-// Acceptance. The nodes for which Options.Leader is true read the operators' folder every second. A folder that
-// merges and validates becomes an immutable snapshot: an object named by its digest. Then the row
-// config/current is replaced by a conditional write on its row version, and only when the folder revision is
-// higher than that of the row. The table evaluates the condition on the current row, so of two racing writers,
-// or of a stale reader and a current one, at most one succeeds, and the accepted revision never falls.
+// # Acceptance
 //
-// A write whose outcome is unknown is repeated with the same condition. At most one of the copies can take
-// effect, however late, because each success changes the row version. When the repeat meets a conflict, the row
-// is read back.
+// The nodes for which Options.Leader returns true read the operators' folder every second. A folder that merges and
+// validates becomes an immutable snapshot, stored as an object named by its digest. Then the row config/current is
+// replaced by a write that is conditional on the row version, and only if the folder revision is higher than that of
+// the row. The table evaluates the condition on the current row, so of two racing writers, or of one with a stale read
+// and one with a current read, at most one succeeds, and the accepted revision never decreases.
 //
-// What may be in force. A version is in force on a node only if the table has accepted it. A node learns that
-// from its own successful write, from the row, or from another entry node. Entry nodes authenticate each other,
-// and a node tells others only about the version it has in force itself, so the chain of tellers ends at a node
-// that saw the row or wrote it. The receiver checks what can be checked without the table: the snapshot has the
-// stated digest, holds the stated folder revision, and its version is higher than the own one. A claimed
-// version alone is never put in force. The row is read every 30 s; when it states another digest for the version
-// in force, the row wins.
+// A write whose outcome is unknown is retried with the same condition. At most one of the attempts can take effect,
+// however late, because each successful write changes the row version. If a retry fails with a conflict, the row is
+// read back.
 //
-// The version in force on a node never decreases: adopt is the only place that sets it.
+// # Versions in force
+//
+// A version is in force on a node only if the table has accepted it. A node learns of the acceptance from its own
+// successful write, from the row, or from another entry node. Entry nodes authenticate each other, and a node
+// announces and serves only the version that is in force on itself, so every chain of announcements begins at a node
+// that read or wrote the row. The receiver checks what can be checked without the table: that the snapshot has the
+// stated digest and the stated folder revision, and that its version is higher than the receiver's. A version is never
+// put in force without its snapshot. The row is read every 30 s; if it has another digest for the version in force, the
+// row takes precedence.
+//
+// The version in force on a node never decreases: adopt is the only function that sets it.
 package configstore
 
 import (
@@ -35,7 +39,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Row that decides which configuration is in force.
+// Table and key of the row that states the accepted version.
 const (
 	TableName = "config"
 	RowKey    = "current"
@@ -45,11 +49,11 @@
 type Peers interface {
 	// Sample returns up to n live nodes, chosen at random, without this node.
 	Sample(n int) []string
-	// FetchConfig asks one node. The answer is checked by the caller.
+	// FetchConfig queries one node for its configuration. The caller validates the reply.
 	FetchConfig(ctx context.Context, node string, fetch *pb.ConfigFetch) (*pb.ConfigState, error)
 }
 
-// Logger takes one line of text with fields in key-value pairs.
+// Logger writes one log line whose fields are given as alternating keys and values.
 type Logger interface {
 	Log(keyvals ...any) error
 }
@@ -63,37 +67,37 @@
 	Peers Peers
 	// Node is the name of this node, for log lines.
 	Node string
-	// Leader reports whether this node reads the folder at present; nil means always.
+	// Leader reports whether this node currently reads the folder; nil means always.
 	Leader func() bool
-	// Now is used for times in Status; nil means time.Now.
+	// Now provides the times in Status; nil means time.Now.
 	Now func() time.Time
-	// Rand draws jitter; nil means a random seed. The store serializes its use.
+	// Rand is the source of jitter; nil means one with a random seed. The store serializes its calls.
 	Rand *rand.Rand
 	// Logger may be nil.
 	Logger Logger
-	// Timing replaces the default intervals and limits where its fields are not zero.
+	// Timing overrides DefaultTiming; fields that are zero or negative keep their defaults.
 	Timing Timing
 }
 
-// Timing has the intervals and time limits of a Store.
+// Timing holds the intervals and timeouts of a Store.
 type Timing struct {
 	// FolderInterval is the time between two reads of the folder.
 	FolderInterval time.Duration
 	// RowInterval is the time between two reads of the row.
 	RowInterval time.Duration
-	// OutageInterval is the time between two questions to a peer while the row cannot be read.
+	// OutageInterval is the time between two queries to a peer while the row cannot be read.
 	OutageInterval time.Duration
-	// PlatformTimeout limits one call of the platform, PeerTimeout one question to a peer.
+	// PlatformTimeout bounds one call to the platform, PeerTimeout one query to a peer.
 	PlatformTimeout time.Duration
 	PeerTimeout     time.Duration
-	// RetryFirst and RetryMost bound the delay before a retry, which doubles.
+	// RetryFirst and RetryMost are the initial and the maximum delay before a retry; the delay doubles in between.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
 }
 
-// DefaultTiming gives, for 400 nodes of which 3 read the folder, 3 folder reads/s and 14 row reads/s, of the
-// about 2,000 reads/s that the platform allows all nodes. Announcements by gossip are what makes a change fast;
-// OutageInterval covers lost announcements while the row cannot be read.
+// DefaultTiming results in 3 folder reads/s and 14 row reads/s for 400 nodes of which 3 read the folder, out of about
+// 2,000 reads/s that the platform allows for all nodes together. Changes propagate quickly through gossip announcements
+// rather than through reads; OutageInterval covers lost announcements while the row cannot be read.
 var DefaultTiming = Timing{
 	FolderInterval:  time.Second,
 	RowInterval:     30 * time.Second,
@@ -119,58 +123,58 @@
 	Version        uint64
 	Digest         string
 	FolderRevision uint64
-	// Since is when the version came into force on this node.
+	// Since is the time when the version came into force on this node.
 	Since time.Time
-	// SeenRevision is the highest folder revision this node has read; 0 when it has read none.
+	// SeenRevision is the highest folder revision that this node has read; 0 if it has read none.
 	SeenRevision uint64
-	// Faults are the reasons why FaultRevision was not accepted. They stay until this or a higher
-	// revision is accepted.
+	// Faults are the reasons why FaultRevision was rejected. They are kept until this or a higher revision is in
+	// force.
 	Faults        []config.Fault
 	FaultRevision uint64
-	// LastError is the last failure of a call or a check, and LastErrorAt its time.
+	// LastError describes the last failed operation, and LastErrorAt is its time.
 	LastError   string
 	LastErrorAt time.Time
 	Counts      Counts
 }
 
-// Counts are numbers of calls since the start.
+// Counts are the numbers of calls since the store was created.
 type Counts struct {
 	FolderReads, RowReads, RowWrites, ObjectReads, ObjectWrites, PeerFetches uint64
 }
 
-// Store keeps the configuration in force on this node.
+// Store maintains the configuration that is in force on this node.
 type Store struct {
 	o       Options
 	timing  Timing
 	current atomic.Pointer[InForce]
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	status   Status
-	row      seenRow
-	wanted   wanted
-	watchers map[int]func(*InForce)
-	nextID   int
+	mu        sync.Mutex
+	status    Status
+	row       observedRow
+	announced announcement
+	watchers  map[int]func(*InForce)
+	nextID    int
 
-	// notify serializes the calls of watchers; told is what they were told last.
-	notify sync.Mutex
-	told   *InForce
+	// notifyMu serializes the calls of watchers; notified is the configuration that they were last called with.
+	notifyMu sync.Mutex
+	notified *InForce
 
 	randMu sync.Mutex
 }
 
-// seenRow is the row with the highest row version that this node has read or written.
-type seenRow struct {
+// observedRow is a row that this node has read or written, with its row version.
+type observedRow struct {
 	version uint64
 	value   *pb.AcceptedVersion
 }
 
-// wanted is the highest version that peers have announced and this node does not have yet.
-type wanted struct {
-	version uint64
-	digest  string
-	peers   []string
-	tries   int
+// announcement is the highest version that peers have announced and that is not in force on this node yet.
+type announcement struct {
+	version  uint64
+	digest   string
+	peers    []string
+	attempts int
 }
 
 // New returns a store without a version in force.
@@ -193,36 +197,36 @@
 }
 
 func (t Timing) withDefaults() Timing {
-	set := func(field *time.Duration, unset time.Duration) {
+	applyDefault := func(field *time.Duration, value time.Duration) {
 		if *field <= 0 {
-			*field = unset
+			*field = value
 		}
 	}
-	set(&t.FolderInterval, DefaultTiming.FolderInterval)
-	set(&t.RowInterval, DefaultTiming.RowInterval)
-	set(&t.OutageInterval, DefaultTiming.OutageInterval)
-	set(&t.PlatformTimeout, DefaultTiming.PlatformTimeout)
-	set(&t.PeerTimeout, DefaultTiming.PeerTimeout)
-	set(&t.RetryFirst, DefaultTiming.RetryFirst)
-	set(&t.RetryMost, DefaultTiming.RetryMost)
+	applyDefault(&t.FolderInterval, DefaultTiming.FolderInterval)
+	applyDefault(&t.RowInterval, DefaultTiming.RowInterval)
+	applyDefault(&t.OutageInterval, DefaultTiming.OutageInterval)
+	applyDefault(&t.PlatformTimeout, DefaultTiming.PlatformTimeout)
+	applyDefault(&t.PeerTimeout, DefaultTiming.PeerTimeout)
+	applyDefault(&t.RetryFirst, DefaultTiming.RetryFirst)
+	applyDefault(&t.RetryMost, DefaultTiming.RetryMost)
 	return t
 }
 
 // Current returns the configuration in force, or nil when there is none yet.
 func (s *Store) Current() *InForce { return s.current.Load() }
 
-// Watch calls fn with the configuration in force now, if any, and with each later one, in order. Versions that
-// are replaced quickly may be left out. fn must not call Watch. The returned function ends the watch.
+// Watch calls fn with the configuration in force, if any, and then with each later one, in order. A version that is
+// replaced quickly may be skipped. fn must not call Watch. The returned function ends the watch.
 func (s *Store) Watch(fn func(*InForce)) (cancel func()) {
-	s.notify.Lock()
-	defer s.notify.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.mu.Lock()
 	id := s.nextID
 	s.nextID++
 	s.watchers[id] = fn
 	s.mu.Unlock()
-	if s.told != nil {
-		fn(s.told)
+	if s.notified != nil {
+		fn(s.notified)
 	}
 	return func() {
 		s.mu.Lock()
@@ -231,15 +235,15 @@
 	}
 }
 
-// tell calls the watchers with the configuration in force, unless they know it.
-func (s *Store) tell() {
-	s.notify.Lock()
-	defer s.notify.Unlock()
-	now := s.Current()
-	if now == s.told {
+// notifyWatchers calls the watchers with the configuration in force unless they have already been notified of it.
+func (s *Store) notifyWatchers() {
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
+	current := s.Current()
+	if current == s.notified {
 		return
 	}
-	s.told = now
+	s.notified = current
 	s.mu.Lock()
 	watchers := make([]func(*InForce), 0, len(s.watchers))
 	for id := range s.nextID {
@@ -249,19 +253,19 @@
 	}
 	s.mu.Unlock()
 	for _, fn := range watchers {
-		fn(now)
+		fn(current)
 	}
 }
 
-// Serve answers a question of a peer. The snapshot is left out when the peer has the version already.
+// Serve returns the reply to a peer's query. It omits the snapshot if the peer already has this version or a higher one.
 func (s *Store) Serve(fetch *pb.ConfigFetch) *pb.ConfigState {
-	now := s.Current()
-	if now == nil {
+	current := s.Current()
+	if current == nil {
 		return &pb.ConfigState{}
 	}
-	state := &pb.ConfigState{Version: now.Version, FolderRevision: now.FolderRevision, Digest: now.Digest}
-	if now.Version > fetch.GetHaveVersion() {
-		state.Snapshot = now.snapshot
+	state := &pb.ConfigState{Version: current.Version, FolderRevision: current.FolderRevision, Digest: current.Digest}
+	if current.Version > fetch.GetHaveVersion() {
+		state.Snapshot = current.snapshot
 	}
 	return state
 }
@@ -275,13 +279,13 @@
 	return out
 }
 
-// errMismatch means that a snapshot is not the one that was announced.
+// errMismatch means that a snapshot or a peer's reply does not match the accepted version.
 var errMismatch = errors.New("snapshot does not match the accepted version")
 
-// adopt puts an accepted version in force unless this node has the same or a higher one. fromRow says that the
-// version was read from the row or written to it, not told by a peer.
+// adopt puts an accepted version in force unless this node has the same or a higher one. fromRow means that the version
+// was read from the row or written to it rather than reported by a peer.
 func (s *Store) adopt(accepted *pb.AcceptedVersion, data []byte, fromRow bool) error {
-	if now := s.Current(); now != nil && !replaces(accepted, now, fromRow) {
+	if current := s.Current(); current != nil && !replaces(accepted, current, fromRow) {
 		return nil
 	}
 	snapshot, err := config.Decode(data, accepted.Digest)
@@ -302,15 +306,15 @@
 		return nil
 	}
 	s.log("msg", "configuration in force", "version", next.Version, "folder_revision", next.FolderRevision, "digest", next.Digest)
-	s.tell()
+	s.notifyWatchers()
 	return nil
 }
 
 func (s *Store) install(accepted *pb.AcceptedVersion, next *InForce, fromRow bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.Current()
-	if now != nil && !replaces(accepted, now, fromRow) {
+	current := s.Current()
+	if current != nil && !replaces(accepted, current, fromRow) {
 		return false
 	}
 	s.current.Store(next)
@@ -325,30 +329,30 @@
 	return true
 }
 
-// replaces reports whether an accepted version replaces the one in force. The row corrects a peer that stated
-// another digest for the same version.
-func replaces(accepted *pb.AcceptedVersion, now *InForce, fromRow bool) bool {
-	if accepted.Version != now.Version {
-		return accepted.Version > now.Version
+// replaces reports whether an accepted version replaces the one in force. The row also corrects a digest that a peer
+// reported for the same version.
+func replaces(accepted *pb.AcceptedVersion, current *InForce, fromRow bool) bool {
+	if accepted.Version != current.Version {
+		return accepted.Version > current.Version
 	}
-	return fromRow && accepted.Digest != now.Digest
+	return fromRow && accepted.Digest != current.Digest
 }
 
 func (s *Store) currentVersion() uint64 {
-	if now := s.Current(); now != nil {
-		return now.Version
+	if current := s.Current(); current != nil {
+		return current.Version
 	}
 	return 0
 }
 
-// jitter returns a duration from 80% to 120% of d, so that nodes do not call in step.
+// jitter returns a random duration from 80% to 120% of d, so that nodes do not call the platform in lockstep.
 func (s *Store) jitter(d time.Duration) time.Duration {
 	s.randMu.Lock()
 	defer s.randMu.Unlock()
 	return time.Duration(float64(d) * (0.8 + 0.4*s.o.Rand.Float64()))
 }
 
-// backoff returns the delay before retry number n, counted from 0.
+// backoff returns the delay before retry n, counted from 0.
 func (s *Store) backoff(n int) time.Duration {
 	d := s.timing.RetryFirst << min(n, 16)
 	return s.jitter(min(d, s.timing.RetryMost))
@@ -360,12 +364,12 @@
 	update(&s.status.Counts)
 }
 
-func (s *Store) failed(doing string, err error) {
+func (s *Store) recordFailure(operation string, err error) {
 	s.mu.Lock()
-	s.status.LastError = doing + ": " + err.Error()
+	s.status.LastError = operation + ": " + err.Error()
 	s.status.LastErrorAt = s.o.Now()
 	s.mu.Unlock()
-	s.log("msg", doing+" failed", "err", err)
+	s.log("msg", operation+" failed", "err", err)
 }
 
 func (s *Store) log(keyvals ...any) {
--- a/pkg/configstore/store_test.go
+++ b/pkg/configstore/store_test.go
@@ -20,7 +20,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// simulate runs f in virtual time with an observed cluster whose nodes have not started.
+// simulate runs f in virtual time with a cluster whose row is observed and whose nodes have not been started.
 func simulate(t *testing.T, seed uint64, n int, f func(ctx context.Context, t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -35,34 +35,34 @@
 	})
 }
 
-// alone starts a node that only knows the platform.
-func (n *node) alone(ctx context.Context, view platform.Table) {
+// startWithoutPeers starts a node that uses only the platform.
+func (n *node) startWithoutPeers(ctx context.Context, view platform.Table) {
 	ctx, n.cancel = context.WithCancel(ctx)
 	n.store = New(Options{Table: view, Objects: n.c.objects, Folder: n.folder, Node: n.name, Rand: n.rand})
 	go n.store.Run(ctx)
 }
 
-// oldTable reads one fixed state of the row until it is healed.
-type oldTable struct {
+// staleTable returns the same row and error from each Get until it has recovered.
+type staleTable struct {
 	platform.Table
-	row    platform.Row
-	err    error
-	healed atomic.Bool
+	row       platform.Row
+	err       error
+	recovered atomic.Bool
 }
 
-func (o *oldTable) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	if o.healed.Load() {
+func (o *staleTable) Get(ctx context.Context, table, key string) (platform.Row, error) {
+	if o.recovered.Load() {
 		return o.Table.Get(ctx, table, key)
 	}
 	return o.row, o.err
 }
 
-// Guards against a reader with an old folder and old rows that replaces a newer configuration.
+// Guards against a node with stale reads of the folder and the row that replaces a newer configuration.
 func TestStaleReaderCannotRevert(t *testing.T) {
 	simulate(t, 1, 3, func(ctx context.Context, t *testing.T, c *cluster) {
 		current, stale, empty := c.nodes[0], c.nodes[1], c.nodes[2]
 		c.folder.edit(true)
-		current.alone(ctx, current.table)
+		current.startWithoutPeers(ctx, current.table)
 		time.Sleep(5 * time.Second)
 		old, err := c.table.Get(ctx, TableName, RowKey)
 		assert.NilError(t, err)
@@ -72,19 +72,19 @@
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, current.version(), uint64(3))
 
-		// One reader has the first row and the second folder, the other no row and the first folder.
-		views := []*oldTable{{Table: stale.table, row: old}, {Table: empty.table, err: platform.ErrNotFound}}
+		// One node reads the first row and the second folder revision, the other no row and the first folder revision.
+		views := []*staleTable{{Table: stale.table, row: old}, {Table: empty.table, err: platform.ErrNotFound}}
 		stale.folder.set(20*time.Second, false)
 		empty.folder.set(time.Hour, false)
-		stale.alone(ctx, views[0])
-		empty.alone(ctx, views[1])
+		stale.startWithoutPeers(ctx, views[0])
+		empty.startWithoutPeers(ctx, views[1])
 		time.Sleep(8 * time.Second)
 		row, err := readRow(c.table)
 		assert.NilError(t, err)
 		assert.Equal(t, row.FolderRevision, uint64(3))
 		for i, n := range []*node{stale, empty} {
-			assert.Assert(t, n.store.Status().Counts.RowWrites > 0, "%s never tried to write", n.name)
-			views[i].healed.Store(true)
+			assert.Assert(t, n.store.Status().Counts.RowWrites > 0, "%s did not try to write", n.name)
+			views[i].recovered.Store(true)
 		}
 		time.Sleep(40 * time.Second)
 		assert.Equal(t, stale.version(), uint64(3))
@@ -92,34 +92,34 @@
 	})
 }
 
-// Guards against an accepting write that is counted twice, forgotten, or noticed only by a later pass, when its
-// answer is lost.
-func TestLostAnswer(t *testing.T) {
+// Guards against an accepting write that takes effect twice, is lost, or is noticed only at a later folder read when
+// its response is lost.
+func TestLostResponse(t *testing.T) {
 	simulate(t, 2, 1, func(ctx context.Context, t *testing.T, c *cluster) {
 		n := c.nodes[0]
 		c.folder.edit(true)
-		n.alone(ctx, n.table)
+		n.startWithoutPeers(ctx, n.table)
 		time.Sleep(3 * time.Second)
 		n.table.SetFaults(table.Faults{LostPercent: 100})
 		c.folder.edit(true)
 		for c.table.Counts().RowWrites < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		n.table.SetFaults(table.Faults{}) // so that the repeat gets its answer, a conflict
+		n.table.SetFaults(table.Faults{}) // so that the retry receives its response, a conflict
 		time.Sleep(400 * time.Millisecond)
 		assert.Equal(t, n.version(), uint64(2), "the write was not read back")
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, c.table.Counts().RowWrites, uint64(2))
-		assert.Assert(t, n.store.Status().Counts.RowWrites > 2, "the write was never repeated")
+		assert.Assert(t, n.store.Status().Counts.RowWrites > 2, "the write was never retried")
 	})
 }
 
-// Guards against a write that takes effect seconds after its caller gave up and brings back its revision.
+// Guards against a write that takes effect seconds after its caller timed out and restores an older revision.
 func TestLateWrite(t *testing.T) {
 	simulate(t, 3, 2, func(ctx context.Context, t *testing.T, c *cluster) {
-		late, prompt := c.nodes[0], c.nodes[1]
+		late, other := c.nodes[0], c.nodes[1]
 		c.folder.edit(true)
-		late.alone(ctx, late.table)
+		late.startWithoutPeers(ctx, late.table)
 		time.Sleep(3 * time.Second)
 		late.table.SetFaults(table.Faults{LatePercent: 100, MaxLate: 20 * time.Second})
 		c.folder.edit(true)
@@ -127,11 +127,11 @@
 		assert.Assert(t, late.store.Status().Counts.RowWrites > 1)
 		row, err := readRow(c.table)
 		assert.NilError(t, err)
-		assert.Assert(t, late.version() <= row.Version, "a write without an effect is in force")
+		assert.Assert(t, late.version() <= row.Version, "a version that the table has not accepted is in force")
 		c.folder.edit(true)
-		prompt.alone(ctx, prompt.table)
+		other.startWithoutPeers(ctx, other.table)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, prompt.store.Current().FolderRevision, uint64(3))
+		assert.Equal(t, other.store.Current().FolderRevision, uint64(3))
 		time.Sleep(60 * time.Second)
 		row, err = readRow(c.table)
 		assert.NilError(t, err)
@@ -140,21 +140,22 @@
 	})
 }
 
-// interruptedTable calls first before its first commit.
-type interruptedTable struct {
+// hookedTable calls a function before its first commit.
+type hookedTable struct {
 	platform.Table
-	first func()
+	beforeFirstCommit func()
 }
 
-func (i *interruptedTable) Commit(ctx context.Context, mutations []platform.Mutation) ([]uint64, error) {
-	if first := i.first; first != nil {
-		i.first = nil
-		first()
+func (i *hookedTable) Commit(ctx context.Context, mutations []platform.Mutation) ([]uint64, error) {
+	if hook := i.beforeFirstCommit; hook != nil {
+		i.beforeFirstCommit = nil
+		hook()
 	}
 	return i.Table.Commit(ctx, mutations)
 }
 
-// Guards against an edit that waits for the next pass, because a reader of the edit before it wrote its row first.
+// Guards against an edit that waits for the next folder read because another node, which had read the folder before the
+// edit, wrote its row first.
 func TestNewerEditWinsTheRaceAtOnce(t *testing.T) {
 	simulate(t, 5, 2, func(ctx context.Context, t *testing.T, c *cluster) {
 		older, newer := c.nodes[0], c.nodes[1]
@@ -162,8 +163,8 @@
 			return New(Options{Table: view, Objects: c.objects, Folder: n.folder, Node: n.name, Rand: n.rand})
 		}
 		older.store = newStore(older, older.table)
-		view := &interruptedTable{Table: newer.table, first: func() {
-			older.folder.set(time.Second, false) // it reads the folder as it was before the second edit
+		view := &hookedTable{Table: newer.table, beforeFirstCommit: func() {
+			older.folder.set(time.Second, false) // makes it read the folder as it was before the second edit
 			assert.NilError(t, older.store.checkFolder(ctx))
 		}}
 		newer.store = newStore(newer, view)
@@ -178,7 +179,7 @@
 	})
 }
 
-// Guards against racing editors and readers whose writes overwrite each other.
+// Guards against concurrent edits and row writes that overwrite each other.
 func TestRacingEditors(t *testing.T) {
 	simulate(t, 4, 4, func(ctx context.Context, t *testing.T, c *cluster) {
 		for _, n := range c.nodes {
@@ -196,19 +197,19 @@
 		}
 		time.Sleep(10 * time.Second)
 		last = c.folder.edit(true)
-		_, ok := c.inForceEverywhere(last, 10*time.Second)
+		_, ok := c.waitInForceEverywhere(last, 10*time.Second)
 		assert.Assert(t, ok)
 	})
 }
 
-// Guards against a node that starts without a configuration, or with an old one, while the platform is down.
+// Guards against a node that has no configuration, or an old one, after a start during a platform outage.
 func TestRestartDuringOutage(t *testing.T) {
 	simulate(t, 5, 4, func(ctx context.Context, t *testing.T, c *cluster) {
 		c.folder.edit(true)
 		c.start(ctx)
-		_, ok := c.inForceEverywhere(1, 10*time.Second)
+		_, ok := c.waitInForceEverywhere(1, 10*time.Second)
 		assert.Assert(t, ok)
-		// Of the three others, only one has the newest version.
+		// Only one of the three other nodes has the newest version.
 		row, err := readRow(c.table)
 		assert.NilError(t, err)
 		data, digest, err := config.Encode(&pb.Snapshot{Merged: &pb.FolderFile{}, FolderRevision: 2})
@@ -231,7 +232,7 @@
 	})
 }
 
-// Guards against an invalid folder that changes the configuration, or that operators cannot find the fault of.
+// Guards against an invalid folder that changes the configuration, and against faults that Status does not report.
 func TestInvalidFolder(t *testing.T) {
 	simulate(t, 6, 3, func(ctx context.Context, t *testing.T, c *cluster) {
 		c.folder.edit(true)
@@ -247,22 +248,22 @@
 			assert.DeepEqual(t, status.Faults, []config.Fault{want})
 		}
 		good := c.folder.edit(true)
-		_, ok := c.inForceEverywhere(good, 3*time.Second)
+		_, ok := c.waitInForceEverywhere(good, 3*time.Second)
 		assert.Assert(t, ok)
 		assert.Equal(t, len(c.nodes[0].store.Status().Faults), 0)
 	})
 }
 
-// liar is a peer that answers with a given state.
-type liar struct{ state *pb.ConfigState }
+// fixedPeer is a peer that always replies with the same state.
+type fixedPeer struct{ state *pb.ConfigState }
 
-func (l liar) Sample(int) []string { return []string{"liar"} }
+func (l fixedPeer) Sample(int) []string { return []string{"liar"} }
 
-func (l liar) FetchConfig(context.Context, string, *pb.ConfigFetch) (*pb.ConfigState, error) {
+func (l fixedPeer) FetchConfig(context.Context, string, *pb.ConfigFetch) (*pb.ConfigState, error) {
 	return l.state, nil
 }
 
-// Guards against a claimed version whose snapshot is missing, damaged or of another revision.
+// Guards against a reported version whose snapshot is missing, corrupted or of another revision.
 func TestPeerClaimIsVerified(t *testing.T) {
 	data, digest, err := config.Encode(&pb.Snapshot{Merged: &pb.FolderFile{}, FolderRevision: 2})
 	assert.NilError(t, err)
@@ -282,7 +283,7 @@
 				view := &folderView{f: &folder{}, down: true}
 				down := table.New(table.Options{})
 				down.SetFaults(table.Faults{Outage: table.Refusing})
-				s := New(Options{Table: down, Objects: object.New(), Folder: view, Peers: liar{state}})
+				s := New(Options{Table: down, Objects: object.New(), Folder: view, Peers: fixedPeer{state}})
 				go s.Run(ctx)
 				s.Offer(ctx, 7, digest, "liar")
 				time.Sleep(time.Minute)
@@ -294,14 +295,14 @@
 	}
 }
 
-// Guards against slow propagation. The goals are those of docs/design.md, requirement 7. With outage, table and
-// object store go down as soon as the table has accepted the change.
+// Guards against slow propagation. The limits are those of docs/design.md, requirement 7. With outage, the table and
+// the object store become unavailable as soon as the table has accepted the change.
 func TestPropagation(t *testing.T) {
 	for _, c := range []struct {
 		nodes, edits int
 		latency      time.Duration
 		outage       bool
-		goal         time.Duration
+		limit        time.Duration
 	}{
 		{8, 200, time.Millisecond, false, 2 * time.Second},
 		{400, 20, 30 * time.Millisecond, false, 17 * time.Second},
@@ -310,34 +311,34 @@
 		t.Run(fmt.Sprintf("%d,outage=%v", c.nodes, c.outage), func(t *testing.T) {
 			simulate(t, 7, c.nodes, func(ctx context.Context, t *testing.T, cl *cluster) {
 				cl.latency = c.latency
-				cl.storeDown(false)
+				cl.setStoreOutage(false)
 				cl.start(ctx)
-				var times []time.Duration
+				var durations []time.Duration
 				for i := range c.edits {
 					revision := cl.folder.edit(true)
-					began := time.Now()
+					started := time.Now()
 					for c.outage && cl.table.Counts().RowWrites <= uint64(i) {
 						time.Sleep(time.Millisecond)
 					}
-					cl.storeDown(c.outage)
-					_, ok := cl.inForceEverywhere(revision, time.Minute)
+					cl.setStoreOutage(c.outage)
+					_, ok := cl.waitInForceEverywhere(revision, time.Minute)
 					assert.Assert(t, ok)
-					times = append(times, time.Since(began))
-					cl.storeDown(false)
+					durations = append(durations, time.Since(started))
+					cl.setStoreOutage(false)
 					time.Sleep(time.Duration(1000+i*37%1000) * time.Millisecond)
 				}
-				slices.Sort(times)
-				p99 := times[(len(times)*99+99)/100-1]
-				t.Logf("%d nodes, %d edits: median %v, p99 %v", c.nodes, c.edits, times[len(times)/2], p99)
-				assert.Assert(t, p99 <= c.goal, "p99 %v", p99)
+				slices.Sort(durations)
+				p99 := durations[(len(durations)*99+99)/100-1]
+				t.Logf("%d nodes, %d edits: median %v, p99 %v", c.nodes, c.edits, durations[len(durations)/2], p99)
+				assert.Assert(t, p99 <= c.limit, "p99 %v", p99)
 				assert.Equal(t, cl.table.Counts().RowWrites, uint64(c.edits))
 			})
 		})
 	}
 }
 
-// storeDown takes table and object store down, or up again with the latency of a healthy store.
-func (c *cluster) storeDown(down bool) {
+// setStoreOutage makes the table and the object store unavailable, or available with the latency of a healthy store.
+func (c *cluster) setStoreOutage(down bool) {
 	faults := table.Faults{MinLatency: 5 * time.Millisecond, MaxLatency: 30 * time.Millisecond}
 	if down {
 		faults = table.Faults{Outage: table.Hanging}
@@ -348,29 +349,29 @@
 	c.objects.SetFaults(object.Faults{Hanging: down})
 }
 
-// Guards against a digest that a peer stated wrongly and that stays in force although the row states another.
+// Guards against a wrong digest that a peer reported and that stays in force although the row has another.
 func TestRowCorrectsPeer(t *testing.T) {
 	simulate(t, 9, 1, func(ctx context.Context, t *testing.T, c *cluster) {
 		n := c.nodes[0]
 		c.folder.edit(true)
-		n.alone(ctx, n.table)
+		n.startWithoutPeers(ctx, n.table)
 		time.Sleep(3 * time.Second)
-		right := n.store.Current()
+		correct := n.store.Current()
 		n.stop()
 		synctest.Wait()
 		data, digest, err := config.Encode(&pb.Snapshot{Merged: &pb.FolderFile{}, FolderRevision: 1})
 		assert.NilError(t, err)
 		n.store = New(Options{Table: n.table, Objects: c.objects, Folder: n.folder, Rand: n.rand})
-		told := &pb.AcceptedVersion{Version: right.Version, FolderRevision: 1, Digest: digest}
-		assert.NilError(t, n.store.adopt(told, data, false))
+		reported := &pb.AcceptedVersion{Version: correct.Version, FolderRevision: 1, Digest: digest}
+		assert.NilError(t, n.store.adopt(reported, data, false))
 		assert.NilError(t, n.store.refresh(ctx))
-		assert.Equal(t, n.store.Current().Digest, right.Digest)
-		assert.NilError(t, n.store.adopt(told, data, false))
-		assert.Equal(t, n.store.Current().Digest, right.Digest)
+		assert.Equal(t, n.store.Current().Digest, correct.Digest)
+		assert.NilError(t, n.store.adopt(reported, data, false))
+		assert.Equal(t, n.store.Current().Digest, correct.Digest)
 	})
 }
 
-// Guards against reads that grow with failures: the platform allows about 2,000 reads/s for all nodes.
+// Guards against a read rate that rises with failures: the platform allows about 2,000 reads/s for all nodes together.
 func TestReadRateDuringOutage(t *testing.T) {
 	simulate(t, 8, 20, func(ctx context.Context, t *testing.T, c *cluster) {
 		c.folder.edit(true)
@@ -384,7 +385,7 @@
 		time.Sleep(2 * time.Minute)
 		rate := float64(readCounts(c)-before) / 120
 		t.Logf("%d nodes: %.2f reads/s in an outage", len(c.nodes), rate)
-		// 3 folder readers at one read per 4 s or less often, 20 nodes at one row read per 8 s.
+		// 3 nodes with at most one folder read per 4 s, 20 nodes with one row read per 8 s.
 		assert.Assert(t, rate < 4, "%.2f reads/s", rate)
 	})
 }
@@ -405,21 +406,21 @@
 
 // Kinds of steps.
 const (
-	editGood = iota
-	editBad
+	editValid = iota
+	editInvalid
 	tableFault
 	folderFault
 	objectFault
 	restart
-	heal
+	clearFaults
 	stepKinds
 )
 
 func (s step) apply(ctx context.Context, c *cluster) {
 	n := c.nodes[s.Node]
 	switch s.Kind {
-	case editGood, editBad:
-		c.folder.edit(s.Kind == editGood)
+	case editValid, editInvalid:
+		c.folder.edit(s.Kind == editValid)
 	case tableFault:
 		n.table.SetFaults([]table.Faults{
 			{Outage: table.Refusing},
@@ -435,20 +436,20 @@
 	case restart:
 		n.stop()
 		n.start(ctx, s.Node < leaders)
-	case heal:
-		n.heal()
+	case clearFaults:
+		n.clearFaults()
 	}
 	time.Sleep(time.Duration(s.Amount) * 300 * time.Millisecond)
 }
 
-func (n *node) heal() {
+func (n *node) clearFaults() {
 	n.table.SetFaults(table.Faults{})
 	n.folder.set(0, false)
 	n.c.objects.SetFaults(object.Faults{})
 }
 
-// Guards against any order of edits, faults and restarts that lets the version fall on a node or in the row, or
-// that keeps nodes from the newest accepted revision once the faults have ended.
+// Guards against any sequence of edits, faults and restarts that makes the version decrease on a node or in the row, or
+// after which nodes do not reach the newest accepted revision once the faults have ended.
 func TestScheduleProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
@@ -470,13 +471,13 @@
 				s.apply(ctx, c)
 			}
 			for _, n := range c.nodes {
-				n.heal()
+				n.clearFaults()
 			}
 			last := c.folder.edit(true)
-			if _, ok := c.inForceEverywhere(last, 20*time.Second); !ok {
-				c.fail("revision %d is not in force everywhere 20 s after the faults", last)
+			if _, ok := c.waitInForceEverywhere(last, 20*time.Second); !ok {
+				c.fail("revision %d is not in force on all nodes 20 s after the faults have ended", last)
 			}
-			c.checkEqual()
+			c.checkNodesMatchRow()
 			c.stop()
 			cancel()
 			synctest.Wait()
@@ -488,17 +489,17 @@
 	})
 }
 
-// checkEqual checks that all nodes have what the row states.
-func (c *cluster) checkEqual() {
+// checkNodesMatchRow checks that the version and digest in force on all nodes are those of the row.
+func (c *cluster) checkNodesMatchRow() {
 	row, err := readRow(c.table.NewClient("check"))
 	if err != nil {
 		c.fail("read row: %v", err)
 		return
 	}
 	for _, n := range c.nodes {
-		now := n.current().Current()
-		if now == nil || now.Version != row.Version || now.Digest != row.Digest {
-			c.fail("%s has %+v in force, the row is %v", n.name, now, row)
+		current := n.current().Current()
+		if current == nil || current.Version != row.Version || current.Digest != row.Digest {
+			c.fail("%s has %+v in force, the row is %v", n.name, current, row)
 		}
 	}
 }
