--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform declares the interfaces to the platform that users run already: a transactional table
+// Package platform declares the interfaces to the services of the user's existing platform: a transactional table
 // service, an object store, the operators' folder, a cloud API, an instance list and a weight store.
 //
-// Everything that must be agreed or kept goes through these interfaces; the system has no store of its own.
-// Adapters implement them, package platformtest has the contract tests that every adapter must pass, and no
-// decision imports an adapter. All calls honour the context's deadline.
+// The system has no store of its own: all state that must be durable or consistent between nodes goes through these
+// interfaces. Adapters implement them; package platformtest has the contract tests that every adapter must pass. Code
+// that makes decisions does not import an adapter. All calls honour the deadline of their context.
 package platform
 
 import (
@@ -15,7 +15,7 @@
 
 // Errors that every adapter returns, possibly wrapped.
 var (
-	// ErrNotFound means that the row or object does not exist, as far as the read shows.
+	// ErrNotFound means that the read, which may be stale, found no such row or object.
 	ErrNotFound = errors.New("platform: not found")
 	// ErrUnavailable means that the call was refused and had no effect.
 	ErrUnavailable = errors.New("platform: unavailable")
@@ -25,9 +25,9 @@
 	ErrStartRefused = errors.New("platform: instance start refused")
 )
 
-// ConflictError tells which mutations of a transaction failed their condition; nothing was written.
+// ConflictError reports which mutations of a transaction failed their condition; nothing was written.
 type ConflictError struct {
-	// Failed has the indexes of the mutations whose condition does not hold, ascending.
+	// Failed holds the indexes of the mutations whose conditions do not hold, in ascending order.
 	Failed []int
 }
 
@@ -40,27 +40,27 @@
 type Row struct {
 	Key   string
 	Value []byte
-	// Version rises with each write of the row; it is never 0 and never reused, not even after a delete.
+	// Version increases with each write of the row. It is never 0 and is not reused, even after the row is deleted.
 	Version uint64
 }
 
-// ConditionKind says what must hold for a mutation.
+// ConditionKind is the kind of a condition.
 type ConditionKind int
 
-// Kinds of conditions.
+// Kinds of conditions: none, that the row does not exist, and that it has a given version.
 const (
 	Always ConditionKind = iota
 	Absent
 	VersionIs
 )
 
-// Condition must hold for a mutation to be written.
+// Condition is a precondition of a mutation.
 type Condition struct {
 	Kind    ConditionKind
 	Version uint64 // for VersionIs
 }
 
-// Mutation writes, deletes or only checks one row.
+// Mutation writes or deletes one row, or only checks its condition.
 type Mutation struct {
 	Table, Key string
 	Value      []byte
@@ -69,19 +69,19 @@
 	If         Condition
 }
 
-// Table is the transactional table service. Conditions of Commit are evaluated against the current rows; Get and
-// List may return rows that are a few seconds old.
+// Table is the transactional table service. Commit evaluates conditions against the current rows; Get and List may
+// return rows that are a few seconds old.
 type Table interface {
 	// Get returns ErrNotFound for a row that does not exist.
 	Get(ctx context.Context, table, key string) (Row, error)
-	// List returns up to limit rows with the prefix and a key greater than after, in the order of their keys.
+	// List returns up to limit rows whose keys have the prefix and are greater than after, in the order of their keys.
 	List(ctx context.Context, table, prefix, after string, limit int) ([]Row, error)
-	// Commit writes all mutations or none and returns the new row versions. It returns a *ConflictError,
-	// ErrUnavailable or ErrOutcomeUnknown; a context that ends during the call gives ErrOutcomeUnknown.
+	// Commit applies all mutations or none and returns the new row versions. Its errors are *ConflictError,
+	// ErrUnavailable and ErrOutcomeUnknown; it returns ErrOutcomeUnknown if the context ends during the call.
 	Commit(ctx context.Context, mutations []Mutation) ([]uint64, error)
 }
 
-// Objects is the object store. Objects are immutable: a name is written once, or again with the same content.
+// Objects is the object store. Objects are immutable: an existing name can be written again only with the same content.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
@@ -89,18 +89,18 @@
 
 // FolderState is the operators' folder at one revision.
 type FolderState struct {
-	// Revision rises with each edit.
+	// Revision increases with each edit.
 	Revision uint64
 	// Files maps file names to contents.
 	Files map[string][]byte
 }
 
-// Folder is the operators' folder. Read may return an older revision, but never a mixture of two.
+// Folder is the operators' folder. Read may return an older revision but never a mixture of two revisions.
 type Folder interface {
 	Read(ctx context.Context) (FolderState, error)
 }
 
-// InstanceKind says what runs on an instance.
+// InstanceKind is the kind of process that runs on an instance.
 type InstanceKind string
 
 // Kinds of instances.
@@ -120,7 +120,7 @@
 	Leaving  InstanceState = "leaving"
 )
 
-// Instance is one machine.
+// Instance is one machine of the cloud.
 type Instance struct {
 	ID            string        `json:"id"`
 	Kind          InstanceKind  `json:"kind"`
@@ -137,18 +137,18 @@
 	Reclaimable   bool   `json:"reclaimable,omitempty"`
 	// PricePerHourMicros is in millionths of the currency unit.
 	PricePerHourMicros uint64 `json:"price_per_hour_micros,omitempty"`
-	// Deadline is when a leaving instance stops.
+	// Deadline is the time when a leaving instance is stopped.
 	Deadline time.Time `json:"deadline,omitzero"`
 }
 
-// InstanceList lists live and leaving instances. It lags by some seconds.
+// InstanceList lists the starting, live and leaving instances. It lags behind the cloud by a few seconds.
 type InstanceList interface {
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// StartRequest asks for one instance.
+// StartRequest is a request to start one instance.
 type StartRequest struct {
-	// Token makes a repeated request return the same instance.
+	// Token is an idempotency token: a request with the same token returns the same instance.
 	Token         string       `json:"token"`
 	Kind          InstanceKind `json:"kind"`
 	BackendGroup  string       `json:"backend_group"`
@@ -158,7 +158,7 @@
 	Reclaimable   bool         `json:"reclaimable"`
 }
 
-// Notice announces that the cloud reclaims an instance.
+// Notice is a notice that the cloud will reclaim an instance at the deadline.
 type Notice struct {
 	Number   uint64    `json:"number"`
 	Instance string    `json:"instance"`
@@ -180,30 +180,32 @@
 	// Stop is idempotent.
 	Stop(ctx context.Context, instance string) error
 	Prices(ctx context.Context) ([]Price, error)
-	// Notices returns reclaim notices with a number greater than after; it waits up to the context's deadline for one.
+	// Notices returns the reclaim notices whose numbers are greater than after. If there are none, it waits for one until
+	// the context's deadline and then returns none without an error.
 	Notices(ctx context.Context, after uint64) ([]Notice, error)
 }
 
-// Weights is the rate-limited weight store, from which backend servers load models.
+// Weights is the rate-limited store from which backend servers load model weights.
 type Weights interface {
-	// Reserve asks to load size MiB now; it returns how long to wait when the rate does not allow it yet.
+	// Reserve reserves the rate for loading sizeMiB MiB now and returns 0. If the rate does not allow it yet, it reserves
+	// nothing and returns the time to wait before calling it again.
 	Reserve(ctx context.Context, model string, sizeMiB uint32) (wait time.Duration, err error)
 }
 
-// ErrHistoryGone means that the changes asked for are no longer kept; the table must be read anew.
+// ErrHistoryGone means that the requested changes are no longer retained; the table must be read with Snapshot again.
 var ErrHistoryGone = errors.New("platform: history of the table is gone")
 
-// Change is a row that was written or deleted.
+// Change is the write or deletion of a row.
 type Change struct {
 	Row
 	Deleted bool
 }
 
-// Feed reads whole tables and what has changed in them. Versions come from one counter of the store.
+// Feed reads whole tables and their changes. All versions come from a single counter of the store.
 type Feed interface {
-	// Snapshot returns all rows of a table in the order of their keys and the newest version of the store.
+	// Snapshot returns all rows of a table, in the order of their keys, and the newest version of the store.
 	Snapshot(ctx context.Context, table string) ([]Row, uint64, error)
-	// Changes returns the changes after a version in order, waiting up to wait for the first, and the version to
-	// continue from. It returns ErrHistoryGone when the changes are no longer kept.
+	// Changes returns the changes after version since, in order, and the version to continue from. It waits up to wait
+	// for the first change. It returns ErrHistoryGone if the changes are no longer retained.
 	Changes(ctx context.Context, table string, since uint64, wait time.Duration) ([]Change, uint64, error)
 }
--- a/pkg/platform/platformtest/platformtest.go
+++ b/pkg/platform/platformtest/platformtest.go
@@ -1,5 +1,5 @@
-// Package platformtest has the contract tests that every implementation of pkg/platform must pass. Each function
-// opens fresh instances, so implementations must allow several at once.
+// Package platformtest has the contract tests that every implementation of pkg/platform must pass. Each test calls open
+// for fresh instances of the implementation, so several must be able to exist at once.
 package platformtest
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// testTimeout bounds each contract test.
+// testTimeout bounds the duration of each contract test.
 const testTimeout = 10 * time.Second
 
-func background(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
@@ -38,7 +38,7 @@
 	return platform.Condition{Kind: platform.VersionIs, Version: version}
 }
 
-func conflictOf(t *testing.T, err error) []int {
+func failedMutations(t *testing.T, err error) []int {
 	t.Helper()
 	var conflict *platform.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
@@ -56,7 +56,7 @@
 }
 
 func tableVersions(t *testing.T, table platform.Table) {
-	ctx := background(t)
+	ctx := testContext(t)
 	_, err := table.Get(ctx, "t", "a")
 	assert.ErrorIs(t, err, platform.ErrNotFound)
 	last := uint64(0)
@@ -85,7 +85,7 @@
 }
 
 func tableConditions(t *testing.T, table platform.Table) {
-	ctx := background(t)
+	ctx := testContext(t)
 	versions, err := table.Commit(ctx, []platform.Mutation{put("a", "1", absent)})
 	assert.NilError(t, err)
 	first := versions[0]
@@ -97,22 +97,22 @@
 		{Table: "t", Key: "b", CheckOnly: true, If: versionIs(first)},
 	} {
 		_, err := table.Commit(ctx, []platform.Mutation{mutation})
-		assert.DeepEqual(t, conflictOf(t, err), []int{0})
+		assert.DeepEqual(t, failedMutations(t, err), []int{0})
 	}
 	check := platform.Mutation{Table: "t", Key: "a", CheckOnly: true, If: versionIs(first)}
 	_, err = table.Commit(ctx, []platform.Mutation{check})
 	assert.NilError(t, err)
 	row, err := table.Get(ctx, "t", "a")
 	assert.NilError(t, err)
-	assert.Equal(t, row.Version, first, "a check wrote the row")
+	assert.Equal(t, row.Version, first, "a check-only mutation wrote the row")
 	_, err = table.Commit(ctx, []platform.Mutation{put("a", "2", versionIs(first))})
 	assert.NilError(t, err)
 	_, err = table.Commit(ctx, []platform.Mutation{put("a", "3", versionIs(first))})
-	assert.DeepEqual(t, conflictOf(t, err), []int{0})
+	assert.DeepEqual(t, failedMutations(t, err), []int{0})
 }
 
 func tableAtomic(t *testing.T, table platform.Table) {
-	ctx := background(t)
+	ctx := testContext(t)
 	_, err := table.Commit(ctx, []platform.Mutation{put("a", "1", absent), put("b", "1", absent)})
 	assert.NilError(t, err)
 	_, err = table.Commit(ctx, []platform.Mutation{
@@ -121,7 +121,7 @@
 		put("d", "2", always),
 		put("b", "2", versionIs(1<<40)),
 	})
-	assert.DeepEqual(t, conflictOf(t, err), []int{1, 3})
+	assert.DeepEqual(t, failedMutations(t, err), []int{1, 3})
 	for _, key := range []string{"c", "d"} {
 		_, err := table.Get(ctx, "t", key)
 		assert.ErrorIs(t, err, platform.ErrNotFound)
@@ -129,7 +129,7 @@
 }
 
 func tableList(t *testing.T, table platform.Table) {
-	ctx := background(t)
+	ctx := testContext(t)
 	var mutations []platform.Mutation
 	for _, key := range []string{"x/3", "x/1", "y/1", "x/2", "x"} {
 		mutations = append(mutations, put(key, key, absent))
@@ -155,21 +155,21 @@
 }
 
 func tableRace(t *testing.T, table platform.Table) {
-	ctx := background(t)
+	ctx := testContext(t)
 	const writers = 8
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	results := make([]error, writers)
 	for i := range writers {
-		group.Go(func() {
+		wg.Go(func() {
 			_, results[i] = table.Commit(ctx, []platform.Mutation{put("a", fmt.Sprint(i), absent)})
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	winner := slices.Index(results, nil)
 	assert.Assert(t, winner >= 0)
 	for i, err := range results {
 		if i != winner {
-			assert.DeepEqual(t, conflictOf(t, err), []int{0})
+			assert.DeepEqual(t, failedMutations(t, err), []int{0})
 		}
 	}
 	row, err := table.Get(ctx, "t", "a")
@@ -178,7 +178,7 @@
 }
 
 func tableContext(t *testing.T, table platform.Table) {
-	ctx, cancel := context.WithCancel(background(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	cancel()
 	_, err := table.Commit(ctx, []platform.Mutation{put("a", "1", absent)})
 	assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
@@ -189,7 +189,7 @@
 // Objects tests an object store without faults.
 func Objects(t *testing.T, open func(t *testing.T) platform.Objects) {
 	objects := open(t)
-	ctx := background(t)
+	ctx := testContext(t)
 	_, err := objects.Get(ctx, "a")
 	assert.ErrorIs(t, err, platform.ErrNotFound)
 	data := []byte{0, 1, 255}
@@ -208,15 +208,15 @@
 	assert.Assert(t, slices.Equal(got, large))
 }
 
-// Folder tests an operators' folder. edit replaces its files.
+// Folder tests an operators' folder. edit replaces all its files.
 func Folder(t *testing.T, open func(t *testing.T) (folder platform.Folder, edit func(files map[string][]byte))) {
 	folder, edit := open(t)
-	ctx := background(t)
+	ctx := testContext(t)
 	first, err := folder.Read(ctx)
 	assert.NilError(t, err)
-	again, err := folder.Read(ctx)
+	repeated, err := folder.Read(ctx)
 	assert.NilError(t, err)
-	assert.Equal(t, first.Revision, again.Revision, "the revision rose without an edit")
+	assert.Equal(t, first.Revision, repeated.Revision, "the revision changed without an edit")
 	last := first.Revision
 	for i := range 3 {
 		files := map[string][]byte{"a.json": fmt.Appendf(nil, `{"delete": ["%d"]}`, i), "b.json": []byte("{}")}
@@ -240,13 +240,14 @@
 	}
 }
 
-// CloudSetup is a cloud with its instance list and the faults that the tests need.
+// CloudSetup is a cloud with its instance list and functions that inject the faults that the tests need.
 type CloudSetup struct {
 	Cloud platform.Cloud
 	List  platform.InstanceList
-	// Request can be started, except for its token.
+	// Request is a valid start request; the tests set its token.
 	Request platform.StartRequest
-	// Reclaim gives notice to an instance; RefuseStarts makes all starts fail.
+	// Reclaim issues a reclaim notice for an instance whose deadline is the given time away. RefuseStarts makes all
+	// further starts fail.
 	Reclaim      func(instance string, notice time.Duration)
 	RefuseStarts func()
 }
@@ -259,41 +260,41 @@
 }
 
 func cloudStart(t *testing.T, s CloudSetup) {
-	ctx := background(t)
+	ctx := testContext(t)
 	request := s.Request
 	request.Token = "one"
 	first, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
 	assert.Assert(t, first.ID != "" && first.Addr != "")
-	again, err := s.Cloud.Start(ctx, request)
+	repeated, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
-	assert.Equal(t, again.ID, first.ID, "a repeated start made a second instance")
+	assert.Equal(t, repeated.ID, first.ID, "a repeated request started a second instance")
 	request.Token = "two"
 	second, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
 	assert.Assert(t, second.ID != first.ID)
-	await(ctx, t, s.List, first.ID, true)
+	waitForInstance(ctx, t, s.List, first.ID, true)
 	for range 2 {
 		assert.NilError(t, s.Cloud.Stop(ctx, first.ID))
 	}
-	await(ctx, t, s.List, first.ID, false)
-	await(ctx, t, s.List, second.ID, true)
+	waitForInstance(ctx, t, s.List, first.ID, false)
+	waitForInstance(ctx, t, s.List, second.ID, true)
 	prices, err := s.Cloud.Prices(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, len(prices) > 0)
 }
 
-// await waits until the list shows a live instance, or no longer shows it.
-func await(ctx context.Context, t *testing.T, instances platform.InstanceList, id string, shown bool) {
+// waitForInstance waits until the list contains the instance as live or, if listed is false, no longer contains it.
+func waitForInstance(ctx context.Context, t *testing.T, instances platform.InstanceList, id string, listed bool) {
 	t.Helper()
 	for {
 		all, err := instances.Instances(ctx)
 		assert.NilError(t, err)
 		i := slices.IndexFunc(all, func(i platform.Instance) bool { return i.ID == id })
-		if shown && i >= 0 && all[i].State == platform.Live {
+		if listed && i >= 0 && all[i].State == platform.Live {
 			return
 		}
-		if !shown && i < 0 {
+		if !listed && i < 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -301,44 +302,44 @@
 }
 
 func cloudNotices(t *testing.T, s CloudSetup) {
-	ctx := background(t)
+	ctx := testContext(t)
 	request := s.Request
 	request.Token = "one"
 	instance, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
-	short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
+	pollCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
-	none, err := s.Cloud.Notices(short, 0)
+	empty, err := s.Cloud.Notices(pollCtx, 0)
 	assert.NilError(t, err, "a poll without a notice is not an error")
-	assert.Equal(t, len(none), 0)
+	assert.Equal(t, len(empty), 0)
 
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		s.Reclaim(instance.ID, 2*time.Second)
 	}()
-	began := time.Now()
+	startedAt := time.Now()
 	notices, err := s.Cloud.Notices(ctx, 0)
 	assert.NilError(t, err)
-	assert.Assert(t, time.Since(began) < 2*time.Second, "the poll did not return with the notice")
+	assert.Assert(t, time.Since(startedAt) < 2*time.Second, "the poll did not return with the notice")
 	assert.Equal(t, len(notices), 1)
 	assert.Equal(t, notices[0].Instance, instance.ID)
 	assert.Assert(t, time.Until(notices[0].Deadline) > 0)
-	again, err := s.Cloud.Notices(ctx, notices[0].Number-1)
+	repeated, err := s.Cloud.Notices(ctx, notices[0].Number-1)
 	assert.NilError(t, err)
-	assert.Equal(t, again[0].Number, notices[0].Number)
-	await(ctx, t, s.List, instance.ID, false)
+	assert.Equal(t, repeated[0].Number, notices[0].Number)
+	waitForInstance(ctx, t, s.List, instance.ID, false)
 }
 
 func cloudRefused(t *testing.T, s CloudSetup) {
-	ctx := background(t)
+	ctx := testContext(t)
 	request := s.Request
 	request.Token = "one"
 	before, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
 	s.RefuseStarts()
-	again, err := s.Cloud.Start(ctx, request)
+	repeated, err := s.Cloud.Start(ctx, request)
 	assert.NilError(t, err)
-	assert.Equal(t, again.ID, before.ID)
+	assert.Equal(t, repeated.ID, before.ID)
 	request.Token = "two"
 	_, err = s.Cloud.Start(ctx, request)
 	assert.ErrorIs(t, err, platform.ErrStartRefused)
@@ -347,7 +348,7 @@
 // Weights tests a weight store with a rate of 1,000 MiB/s.
 func Weights(t *testing.T, open func(t *testing.T) platform.Weights) {
 	weights := open(t)
-	ctx := background(t)
+	ctx := testContext(t)
 	wait, err := weights.Reserve(ctx, "m", 200)
 	assert.NilError(t, err)
 	assert.Equal(t, wait, time.Duration(0))
