--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the JSON settings of the processes. A fault is one line that names the file, the
-// field and the reason.
+// Package settings reads and validates the JSON settings files of the processes. The error for an invalid setting is one
+// line that names the file, the field and the reason.
 package settings
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/pollenlug/pollenlug/pkg/route"
 )
 
-// maxNodeName keeps response ids, which contain the node's name, short.
-const maxNodeName = 63
+// maxNameLength bounds names, in bytes. It keeps response IDs, which contain the name of the node, short.
+const maxNameLength = 63
 
-// Node reads the settings of an entry node.
+// Node reads and validates the settings of an entry node.
 func Node(path string) (*pb.NodeSettings, error) {
 	out := &pb.NodeSettings{}
 	if err := read(path, out); err != nil {
@@ -33,7 +33,7 @@
 	return out, nil
 }
 
-// Standin reads the settings of a process of stand-ins.
+// Standin reads and validates the settings of a process that runs stand-ins.
 func Standin(path string) (*pb.StandinSettings, error) {
 	out := &pb.StandinSettings{}
 	if err := read(path, out); err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func fault(field, format string, args ...any) error {
+func fieldError(field, format string, args ...any) error {
 	return merry.New(field + ": " + fmt.Sprintf(format, args...))
 }
 
@@ -89,7 +89,7 @@
 			return err
 		}
 		if names[server.Name] {
-			return fault(field+".name", "%q is used twice", server.Name)
+			return fieldError(field+".name", "%q is used twice", server.Name)
 		}
 		names[server.Name] = true
 	}
@@ -106,7 +106,7 @@
 
 func standinServer(field string, s *pb.StandinServer) error {
 	if s.Kind == pb.BackendGroup_KIND_UNSPECIFIED {
-		return fault(field+".kind", "must be MODEL_ENGINE or PLAIN_SERVICE")
+		return fieldError(field+".kind", "must be MODEL_ENGINE or PLAIN_SERVICE")
 	}
 	if err := name(field+".name", s.Name); err != nil {
 		return err
@@ -119,23 +119,23 @@
 
 func required(field, value string) error {
 	if value == "" {
-		return fault(field, "is missing")
+		return fieldError(field, "is missing")
 	}
 	return nil
 }
 
-// name accepts letters, digits, '.', '_' and '-', which are safe in ids, keys and URLs.
+// name accepts ASCII letters, digits, '.', '_' and '-', which are safe in IDs, keys and URLs.
 func name(field, value string) error {
 	if value == "" {
-		return fault(field, "is missing")
+		return fieldError(field, "is missing")
 	}
-	if len(value) > maxNodeName {
-		return fault(field, "is longer than %d bytes", maxNodeName)
+	if len(value) > maxNameLength {
+		return fieldError(field, "is longer than %d bytes", maxNameLength)
 	}
 	for _, c := range value {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 		if !letter && (c < '0' || c > '9') && c != '.' && c != '_' && c != '-' {
-			return fault(field, "has the character %q; letters, digits, '.', '_' and '-' are allowed", c)
+			return fieldError(field, "has the character %q; letters, digits, '.', '_' and '-' are allowed", c)
 		}
 	}
 	return nil
@@ -143,41 +143,41 @@
 
 func address(field, value string) error {
 	if value == "" {
-		return fault(field, "is missing")
+		return fieldError(field, "is missing")
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fault(field, "%q is not IP:port", value)
+		return fieldError(field, "%q is not IP:port", value)
 	}
 	return nil
 }
 
-// loopback accepts no other address, because profiles show what callers send.
+// loopback accepts only loopback addresses, because profiles reveal data that callers send. An empty value is valid.
 func loopback(field, value string) error {
 	if value == "" {
 		return nil
 	}
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil || !addr.Addr().IsLoopback() {
-		return fault(field, "%q is not a loopback IP:port", value)
+		return fieldError(field, "%q is not a loopback IP:port", value)
 	}
 	return nil
 }
 
 func httpURL(field, value string) error {
 	if value == "" {
-		return fault(field, "is missing")
+		return fieldError(field, "is missing")
 	}
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		return fault(field, "%q is not an http or https URL", value)
+		return fieldError(field, "%q is not an http or https URL", value)
 	}
 	return nil
 }
 
-func tlsFiles(field string, files *pb.TLSFiles, needed bool) error {
+func tlsFiles(field string, files *pb.TLSFiles, mutual bool) error {
 	if files == nil {
-		if needed {
-			return fault(field, "is missing")
+		if mutual {
+			return fieldError(field, "is missing")
 		}
 		return nil
 	}
@@ -187,7 +187,7 @@
 	if err := required(field+".key", files.Key); err != nil {
 		return err
 	}
-	if needed {
+	if mutual {
 		return required(field+".authorities", files.Authorities)
 	}
 	return nil
@@ -197,7 +197,7 @@
 	if value == "" || slices.Contains([]string{"debug", "info", "warning", "error"}, value) {
 		return nil
 	}
-	return fault(field, "%q is not debug, info, warning or error", value)
+	return fieldError(field, "%q is not debug, info, warning or error", value)
 }
 
 func policy(field, value string) error {
@@ -205,16 +205,16 @@
 	if slices.Contains(known, route.Policy(value)) {
 		return nil
 	}
-	return fault(field, "%q is not cost-aware, round-robin, least-loaded or prefix-only", value)
+	return fieldError(field, "%q is not cost-aware, round-robin, least-loaded or prefix-only", value)
 }
 
-// logTime has milliseconds: the lines of several nodes are put in order by their times.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat has milliseconds, because the log lines of several nodes are merged by their timestamps.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Logger returns a logger that writes JSON lines at the level.
+// Logger returns a logger that writes JSON lines of at least the given level; an invalid level means info.
 func Logger(level string) *logrus.Logger {
 	logger := logrus.New()
-	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
 		parsed = logrus.InfoLevel
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,8 +15,8 @@
 "node_addr":"127.0.0.1:9080","platform_url":"http://127.0.0.1:7000",
 "node_tls":{"certificate":"c.pem","key":"k.pem","authorities":"a.pem"}}`
 
-// Guards against settings faults that are accepted or whose message does not name file, field and reason.
-func TestNodeNamesTheField(t *testing.T) {
+// Guards against invalid settings that are accepted or whose error does not name the file, the field and the reason.
+func TestNodeErrorsNameTheField(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.json")
 	for _, tc := range []struct{ from, to, want string }{
 		{"n1", "n 1", "node: has the character ' '"},
@@ -37,7 +37,7 @@
 	assert.NilError(t, err)
 }
 
-// Guards against lines of several nodes that cannot be put in order, because their times are whole seconds.
+// Guards against timestamps in whole seconds, with which the log lines of several nodes cannot be ordered.
 func TestLogTimesHaveMilliseconds(t *testing.T) {
 	var out bytes.Buffer
 	logger := Logger("info")
