--- a/internal/servers/follow.go
+++ b/internal/servers/follow.go
@@ -16,20 +16,21 @@
 	instancePrefix = "instance/"
 	noticePrefix   = "notice/"
 	drainPrefix    = "drain/"
-	// goneTTL is how long the removal of an instance is gossiped.
+	// goneTTL is the lifetime of the gossip item that reports the removal of an instance.
 	goneTTL = 5 * time.Minute
 )
 
-// followList reads the list: often when this node is the reader, else at the start and from time to time.
+// followList reads the instance list: every listInterval while this node is its reader, otherwise at the start and every
+// fallbackInterval.
 func (t *Tracker) followList(ctx context.Context) {
 	var next time.Time
 	for ctx.Err() == nil {
 		reads := t.ReadsList()
 		if reads && time.Until(next) > t.listInterval() {
-			next = time.Time{} // this node has just become the reader
+			next = time.Time{} // this node has just become the reader; read at once
 		}
 		if time.Now().Before(next) {
-			clock.Sleep(ctx, roleInterval)
+			clock.Sleep(ctx, roleCheckInterval)
 			continue
 		}
 		switch ok := t.readList(ctx, reads); {
@@ -43,35 +44,37 @@
 	}
 }
 
-// listInterval keeps the bytes per second of the reader within bounds.
+// listInterval returns the time between two reads of the list by its reader. It grows with the number of instances, so
+// that the bandwidth used stays bounded.
 func (t *Tracker) listInterval() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(minListInterval, time.Duration(len(t.instances))*listTimePerInstance)
 }
 
-// readList takes the list over; the reader gossips what changed. A failed read leaves what is known in force.
+// readList reads the list and applies it; with publish, it replaces the known instances and gossips the changes,
+// otherwise it only adds unknown instances. It returns false if the read failed, which leaves the instances unchanged.
 func (t *Tracker) readList(ctx context.Context, publish bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := t.Instances.Instances(ctx)
 	if err != nil {
-		t.Log.WithError(err).Debug("instance list is unavailable; the last one stays in force")
+		t.Log.WithError(err).Debug("instance list is unavailable; keeping the known instances")
 		return false
 	}
 	if publish {
-		for _, item := range t.merge(list) {
+		for _, item := range t.reconcile(list) {
 			t.publish(item)
 		}
 	} else {
-		t.add(list)
+		t.addUnknown(list)
 	}
 	t.Renew()
 	return true
 }
 
-// add takes instances that are not known yet. What gossip says of the others is newer than a list that lags.
-func (t *Tracker) add(list []platform.Instance) {
+// addUnknown adds the instances that are not known yet. For known instances, gossip is newer than the list, which lags.
+func (t *Tracker) addUnknown(list []platform.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, instance := range list {
@@ -81,8 +84,8 @@
 	}
 }
 
-// merge replaces the known instances and returns what changed.
-func (t *Tracker) merge(list []platform.Instance) []*pb.InstanceItem {
+// reconcile replaces the known instances by the list and returns the changes.
+func (t *Tracker) reconcile(list []platform.Instance) []*pb.InstanceItem {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var changes []*pb.InstanceItem
@@ -93,7 +96,7 @@
 			continue
 		}
 		t.instances[instance.ID] = instance
-		changes = append(changes, toItem(instance))
+		changes = append(changes, encodeItem(instance))
 	}
 	for id := range t.instances {
 		if !seen[id] {
@@ -125,7 +128,7 @@
 	t.Gossip.Set(instancePrefix+item.Id, value, ttl, true)
 }
 
-func toItem(i platform.Instance) *pb.InstanceItem {
+func encodeItem(i platform.Instance) *pb.InstanceItem {
 	item := &pb.InstanceItem{
 		Id:                 i.ID,
 		Kind:               string(i.Kind),
@@ -145,7 +148,7 @@
 	return item
 }
 
-func fromItem(item *pb.InstanceItem) platform.Instance {
+func decodeItem(item *pb.InstanceItem) platform.Instance {
 	i := platform.Instance{
 		ID:                 item.Id,
 		Kind:               platform.InstanceKind(item.Kind),
@@ -165,8 +168,8 @@
 	return i
 }
 
-// heardInstance takes an instance that the reader has gossiped.
-func (t *Tracker) heardInstance(gossiped *pb.GossipItem) {
+// handleInstance applies an instance item that the reader of the list has gossiped.
+func (t *Tracker) handleInstance(gossiped *pb.GossipItem) {
 	var item pb.InstanceItem
 	if proto.Unmarshal(gossiped.Value, &item) != nil || instancePrefix+item.Id != gossiped.Key {
 		return
@@ -175,21 +178,21 @@
 	if item.Gone {
 		delete(t.instances, item.Id)
 	} else {
-		t.instances[item.Id] = fromItem(&item)
+		t.instances[item.Id] = decodeItem(&item)
 	}
 	t.mu.Unlock()
 	t.Renew()
 }
 
-// followNotices reads the notices while this node is one of their readers.
+// followNotices polls for reclaim notices while this node is one of their readers.
 func (t *Tracker) followNotices(ctx context.Context) {
 	var last uint64
 	for ctx.Err() == nil {
 		if !t.ReadsNotices() {
-			clock.Sleep(ctx, roleInterval)
+			clock.Sleep(ctx, roleCheckInterval)
 			continue
 		}
-		notices, err := t.waitForNotices(ctx, last)
+		notices, err := t.pollNotices(ctx, last)
 		if err != nil {
 			clock.Sleep(ctx, retryInterval)
 			continue
@@ -199,25 +202,25 @@
 			t.publishNotice(notice)
 		}
 		if len(notices) == 0 {
-			clock.Sleep(ctx, time.Millisecond) // a platform that answers at once without notices must not be asked in a busy loop
+			clock.Sleep(ctx, time.Millisecond) // prevents a busy loop if the platform returns at once without notices
 		}
 	}
 }
 
-func (t *Tracker) waitForNotices(ctx context.Context, last uint64) ([]platform.Notice, error) {
-	ctx, cancel := context.WithTimeout(ctx, noticeWait)
+func (t *Tracker) pollNotices(ctx context.Context, last uint64) ([]platform.Notice, error) {
+	ctx, cancel := context.WithTimeout(ctx, noticePollTimeout)
 	defer cancel()
 	notices, err := t.Cloud.Notices(ctx, last)
 	if err != nil && ctx.Err() != nil {
-		return nil, nil // no notice came in time
+		return nil, nil // there was no notice within noticePollTimeout
 	}
 	return notices, err
 }
 
-// publishNotice tells all nodes of a notice, unless it is known or long over.
+// publishNotice gossips a notice unless it is known already or its deadline passed longer than noticeRetention ago.
 func (t *Tracker) publishNotice(notice platform.Notice) {
 	left := time.Until(notice.Deadline)
-	if left < -noticeMemory {
+	if left < -noticeRetention {
 		return
 	}
 	t.mu.Lock()
@@ -232,10 +235,10 @@
 		t.Log.WithError(err).Error("notice cannot be encoded")
 		return
 	}
-	t.Gossip.Set(noticePrefix+notice.Instance, value, left+noticeMemory, true)
+	t.Gossip.Set(noticePrefix+notice.Instance, value, left+noticeRetention, true)
 }
 
-func (t *Tracker) heardNotice(item *pb.GossipItem) {
+func (t *Tracker) handleNotice(item *pb.GossipItem) {
 	var notice pb.NoticeItem
 	if proto.Unmarshal(item.Value, &notice) != nil {
 		return
@@ -246,9 +249,9 @@
 	t.Renew()
 }
 
-// Drain tells all nodes that a server leaves by the fleet plan: it gets no new work, and what still runs shortly before
-// the deadline moves. The reclaim notice of the cloud has its own item, which decides where both exist. A repeated call
-// does nothing; a drain cannot be withdrawn.
+// Drain announces to all nodes that the fleet plan removes a server: it gets no new work, and responses that still run
+// drainMoveLead before the deadline are moved. A reclaim notice of the cloud is a separate item, which takes precedence
+// if both exist. A repeated call has no effect; a drain cannot be cancelled.
 func (t *Tracker) Drain(server string, deadline time.Time) {
 	if known, ok := t.drainOf(server); ok && known.UnixMilli() == deadline.UnixMilli() {
 		return
@@ -258,11 +261,11 @@
 		t.Log.WithError(err).Error("drain cannot be encoded")
 		return
 	}
-	t.Gossip.Set(drainPrefix+server, value, max(0, time.Until(deadline))+noticeMemory, true)
+	t.Gossip.Set(drainPrefix+server, value, max(0, time.Until(deadline))+noticeRetention, true)
 	t.setDrain(server, deadline)
 }
 
-func (t *Tracker) heardDrain(item *pb.GossipItem) {
+func (t *Tracker) handleDrain(item *pb.GossipItem) {
 	var drain pb.NoticeItem
 	if proto.Unmarshal(item.Value, &drain) == nil {
 		t.setDrain(strings.TrimPrefix(item.Key, drainPrefix), time.UnixMilli(int64(drain.DeadlineUnixMs)))
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -1,14 +1,14 @@
-// Package servers keeps the router's list of backend servers current.
+// Package servers keeps the router's list of backend servers up to date.
 //
 // # Design
 //
-// One node, chosen by rendezvous hashing, reads the platform's instance list and gossips what changed; two nodes read
-// the reclaim notices, which are urgent. At the target size the list of a thousand instances is too large for every
-// node to read often: 400 nodes that read it each second would cost 100 MB/s. A node reads the list itself when it
-// starts and now and then afterwards, so that it needs no other node.
+// One node, chosen by rendezvous hashing, reads the platform's instance list and gossips the changes; two nodes read the
+// reclaim notices, which are urgent. At the target size of a thousand instances, the list is too large for every node
+// to read often: 400 nodes that read it each second would transfer 100 MB/s. Every node also reads the list when it
+// starts and every fallbackInterval afterwards, so that it does not depend on other nodes.
 //
-// The list lags by seconds. A notice is therefore remembered until some time after its deadline: from its first second
-// the server takes no new work, even while the list shows it as live.
+// The list lags by seconds. A notice is therefore kept until noticeRetention after its deadline: as soon as it is known,
+// the server gets no new work, even while the list still shows it as live.
 package servers
 
 import (
@@ -30,43 +30,44 @@
 )
 
 const (
-	// minListInterval is the least time between two reads of the list, listTimePerInstance stretches it with the size of
-	// the list: at about 250 bytes an instance, the reader spends 5 KB/s.
+	// minListInterval is the minimum time between two reads of the list, and listTimePerInstance extends it in proportion
+	// to the size of the list: at about 250 bytes per instance, the reader transfers 5 KB/s.
 	minListInterval     = time.Second
 	listTimePerInstance = 50 * time.Millisecond
-	// fallbackInterval is how often a node that is not the reader reads the list.
+	// fallbackInterval is the time between two reads of the list by a node that is not its reader.
 	fallbackInterval = time.Minute
-	// roleInterval is how often a node asks whether it is a reader.
-	roleInterval = 500 * time.Millisecond
-	// noticeWait is how long one read of the notices waits for a new one.
-	noticeWait = 10 * time.Second
-	// retryInterval is the wait after a failed read.
+	// roleCheckInterval is the time between two checks whether this node is a reader.
+	roleCheckInterval = 500 * time.Millisecond
+	// noticePollTimeout bounds how long one poll waits for a new notice.
+	noticePollTimeout = 10 * time.Second
+	// retryInterval is the delay after a failed read.
 	retryInterval = 500 * time.Millisecond
 	// listTimeout bounds one read of the list.
 	listTimeout = 2 * time.Second
-	// noticeMemory is how long a notice is kept after its deadline; the list lags less.
-	noticeMemory = time.Minute
-	// drainMoveTime is how long before the end of a drain the responses that still run are moved. Before that they are
-	// left to finish, which costs no recomputed token.
-	drainMoveTime = time.Minute
-	// applyInterval is how often the router's list is renewed when nothing changes, for notices that expire.
-	applyInterval = 2 * time.Second
+	// noticeRetention is how long a notice or drain is kept after its deadline. It is longer than the lag of the list.
+	noticeRetention = time.Minute
+	// drainMoveLead is how long before the deadline of a drain the responses that still run are moved. Until then they
+	// may finish, which needs no recomputed tokens.
+	drainMoveLead = time.Minute
+	// updateInterval is the time between two updates of the router's list without a change; they apply the deadlines of
+	// drains and the expiry of notices.
+	updateInterval = 2 * time.Second
 )
 
-// Load is what is known of a server's load.
+// Load is the last known load of a server, as of At.
 type Load struct {
 	backend.Load
 	At          time.Time
 	Unreachable bool
 }
 
-// Gossip spreads items between nodes; *gossip.Runner implements it.
+// Gossip replicates items between nodes; *gossip.Runner implements it.
 type Gossip interface {
 	Set(key string, value []byte, ttl time.Duration, urgent bool)
 	Watch(prefix string, fn func(item *pb.GossipItem))
 }
 
-// Options are the parts of a Tracker.
+// Options configure a Tracker.
 type Options struct {
 	Instances platform.InstanceList
 	Cloud     platform.Cloud
@@ -74,36 +75,36 @@
 	Config    func() *config.Index
 	// Load returns the last known load of a server.
 	Load func(server string) (Load, bool)
-	// Allow tells whether a server may get work although it has failed lately; it is asked at each renewal.
+	// Allow reports whether a server may get work, given its recent failures. It is called at each update.
 	Allow func(server string) bool
-	// ReadsList and ReadsNotices tell whether this node reads the list and the notices for all.
+	// ReadsList and ReadsNotices report whether this node reads the list and the notices for all nodes.
 	ReadsList, ReadsNotices func() bool
 	Gossip                  Gossip
-	// Leaving is called for each server that is to leave, again with each renewal of the list.
+	// Leaving is called at each update for each server whose responses are to be moved before the deadline.
 	Leaving func(server string, deadline time.Time)
-	// Changed is called with the backend servers after each change; it may be nil.
+	// Changed is called with the backend servers at each update; it may be nil.
 	Changed func([]platform.Instance)
-	// Self is the instance of this node; SelfLeaving is called once when it is to leave.
+	// Self is the instance of this node; SelfLeaving is called once when it is about to leave.
 	Self        string
 	SelfLeaving func(deadline time.Time)
 	Log         *logrus.Entry
 }
 
-// Tracker follows the instances.
+// Tracker tracks the instances, their reclaim notices and their drains.
 type Tracker struct {
 	Options
 	wake chan struct{}
 
-	mu        sync.Mutex
-	instances map[string]platform.Instance
-	notices   map[string]time.Time // deadline by instance
-	drains    map[string]time.Time // deadline by instance, of servers that leave by the fleet plan
-	self      sync.Once
-	// backends are the backend servers as of the last renewal, in the order of their names.
+	mu              sync.Mutex
+	instances       map[string]platform.Instance
+	notices         map[string]time.Time // deadline by instance
+	drains          map[string]time.Time // deadline by instance, of servers that the fleet plan removes
+	selfLeavingOnce sync.Once
+	// backends are the backend servers as of the last update, sorted by instance ID.
 	backends atomic.Pointer[[]platform.Instance]
 }
 
-// New returns a Tracker that listens to gossip.
+// New returns a Tracker that receives items through opts.Gossip.
 func New(opts Options) *Tracker {
 	t := &Tracker{
 		Options:   opts,
@@ -112,9 +113,9 @@
 		notices:   map[string]time.Time{},
 		drains:    map[string]time.Time{},
 	}
-	opts.Gossip.Watch(instancePrefix, t.heardInstance)
-	opts.Gossip.Watch(noticePrefix, t.heardNotice)
-	opts.Gossip.Watch(drainPrefix, t.heardDrain)
+	opts.Gossip.Watch(instancePrefix, t.handleInstance)
+	opts.Gossip.Watch(noticePrefix, t.handleNotice)
+	opts.Gossip.Watch(drainPrefix, t.handleDrain)
 	return t
 }
 
@@ -123,13 +124,13 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { t.followNotices(ctx) })
 	wg.Go(func() { t.followList(ctx) })
-	wg.Go(func() { t.renew(ctx) })
+	wg.Go(func() { t.runUpdates(ctx) })
 	wg.Wait()
 }
 
-// renew applies changes as they come, and from time to time without one.
-func (t *Tracker) renew(ctx context.Context) {
-	ticker := time.NewTicker(applyInterval)
+// runUpdates updates the router's list on request and every updateInterval.
+func (t *Tracker) runUpdates(ctx context.Context) {
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -138,11 +139,11 @@
 		case <-ctx.Done():
 			return
 		}
-		t.apply()
+		t.update()
 	}
 }
 
-// Renew gives the router the servers again soon, because something is known better.
+// Renew requests an update of the router's list because the state of a server has changed. It does not wait for it.
 func (t *Tracker) Renew() {
 	select {
 	case t.wake <- struct{}{}:
@@ -150,9 +151,9 @@
 	}
 }
 
-// apply gives the router the servers and reports those that are to leave.
-func (t *Tracker) apply() {
-	list, notices := t.state(time.Now())
+// update passes the current servers to the router and calls Leaving, Changed and SelfLeaving.
+func (t *Tracker) update() {
+	list, notices := t.snapshot(time.Now())
 	servers := make([]route.Server, 0, len(list))
 	leaving := map[string]time.Time{}
 	for _, instance := range list {
@@ -161,7 +162,7 @@
 			deadline, noticed = instance.Deadline, true
 		}
 		if instance.ID == t.Self && noticed {
-			t.self.Do(func() { t.SelfLeaving(deadline) })
+			t.selfLeavingOnce.Do(func() { t.SelfLeaving(deadline) })
 		}
 		if instance.Kind == platform.EntryNode || instance.State == platform.Starting {
 			continue
@@ -170,12 +171,12 @@
 			leaving[instance.ID] = deadline
 		}
 		if until, draining := t.drainOf(instance.ID); draining {
-			if !noticed && time.Until(until) < drainMoveTime {
+			if !noticed && time.Until(until) < drainMoveLead {
 				leaving[instance.ID] = until
 			}
 			noticed = true
 		}
-		servers = append(servers, t.server(instance, noticed))
+		servers = append(servers, t.toRouteServer(instance, noticed))
 	}
 	t.Router.SetServers(servers)
 	backends := slices.DeleteFunc(list, func(i platform.Instance) bool { return i.Kind == platform.EntryNode })
@@ -188,17 +189,17 @@
 	}
 }
 
-// state returns the instances in the order of their names and the notices, and forgets notices of long ago.
-func (t *Tracker) state(now time.Time) ([]platform.Instance, map[string]time.Time) {
+// snapshot deletes expired notices and drains and returns the instances, sorted by ID, and the notices.
+func (t *Tracker) snapshot(now time.Time) ([]platform.Instance, map[string]time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.drains, func(_ string, deadline time.Time) bool { return now.Sub(deadline) > noticeMemory })
-	maps.DeleteFunc(t.notices, func(_ string, deadline time.Time) bool { return now.Sub(deadline) > noticeMemory })
+	maps.DeleteFunc(t.drains, func(_ string, deadline time.Time) bool { return now.Sub(deadline) > noticeRetention })
+	maps.DeleteFunc(t.notices, func(_ string, deadline time.Time) bool { return now.Sub(deadline) > noticeRetention })
 	list := slices.SortedFunc(maps.Values(t.instances), func(a, b platform.Instance) int { return strings.Compare(a.ID, b.ID) })
 	return list, maps.Clone(t.notices)
 }
 
-func (t *Tracker) server(instance platform.Instance, leaving bool) route.Server {
+func (t *Tracker) toRouteServer(instance platform.Instance, leaving bool) route.Server {
 	out := route.Server{
 		ID:                 instance.ID,
 		Addr:               instance.Addr,
@@ -225,7 +226,7 @@
 	return out
 }
 
-// List returns the backend servers as of the last renewal. The slice is shared and must not be changed.
+// List returns the backend servers as of the last update. The slice is shared and must not be modified.
 func (t *Tracker) List() []platform.Instance {
 	if list := t.backends.Load(); list != nil {
 		return *list
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// Instance returns one instance.
+// Instance returns the instance with the ID.
 func (t *Tracker) Instance(id string) (platform.Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,7 +242,7 @@
 	return instance, ok
 }
 
-// Reclaimed reports whether the cloud reclaims an instance; a drain by the fleet plan does not count.
+// Reclaimed reports whether the cloud reclaims an instance; drains by the fleet plan are not included.
 func (t *Tracker) Reclaimed(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,7 +250,7 @@
 	return noticed || t.instances[id].State == platform.Leaving
 }
 
-// HasNotice reports whether an instance is to leave or has left after a notice.
+// HasNotice reports whether an instance has a reclaim notice or a drain, or is listed as leaving.
 func (t *Tracker) HasNotice(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
