--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// applicationProtocol is the ALPN name of the connections between nodes.
+	// applicationProtocol is the ALPN protocol name of connections between nodes.
 	applicationProtocol = "pollenlug-node"
-	// reloadCheck is the least time between two looks at the files. A handshake triggers the look, so that an
-	// idle node reads nothing.
-	reloadCheck = time.Second
+	// reloadCheckInterval is the minimum time between two checks of the files for changes. Handshakes trigger the checks,
+	// so that an idle node does no file I/O.
+	reloadCheckInterval = time.Second
 )
 
-// ErrPeerRefused means that the peer's certificate does not chain to the authorities or has another name than
-// the envelope.
+// ErrPeerRefused means that the peer's certificate does not chain to the authorities or does not have the name of the
+// sender in the envelope.
 var ErrPeerRefused = errors.New("transport: peer refused")
 
-// keys are one certificate with its key and the authorities in force.
-type keys struct {
+// keyMaterial is a certificate with its private key and the trusted authorities.
+type keyMaterial struct {
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
 
-// Credentials hold the node's certificate and the authorities that peers must chain to. They are read again
-// when a file changes. During a rotation the file of authorities holds the old and the new one; files that do
-// not parse leave the credentials as they were.
+// Credentials hold the node's certificate and the authorities that the certificates of peers must chain to. The files
+// are reloaded when they change; if they do not parse, the previous credentials stay in use. During a rotation, the
+// authorities file contains the old and the new authority.
 type Credentials struct {
-	files *pb.TLSFiles // nil when the keys are only in memory
+	files *pb.TLSFiles // nil for keys that exist in memory only
 	log   *logrus.Entry
 
-	mu      sync.Mutex
-	keys    keys
-	stamp   string
-	checked time.Time
+	mu          sync.Mutex
+	keys        keyMaterial
+	fingerprint string
+	checked     time.Time
 }
 
-// LoadCredentials reads PEM files; an error names the file that cannot be used.
+// LoadCredentials reads PEM files. Its errors name the file that cannot be used.
 func LoadCredentials(files *pb.TLSFiles, log *logrus.Entry) (*Credentials, error) {
 	c := &Credentials{files: files, log: log}
-	stamp, err := fileStamp(files)
+	fingerprint, err := fileFingerprint(files)
 	if err != nil {
 		return nil, err
 	}
@@ -57,62 +57,62 @@
 	if err != nil {
 		return nil, err
 	}
-	c.keys, c.stamp, c.checked = loaded, stamp, time.Now()
+	c.keys, c.fingerprint, c.checked = loaded, fingerprint, time.Now()
 	return c, nil
 }
 
 // loadKeys parses the files.
-func loadKeys(files *pb.TLSFiles) (keys, error) {
+func loadKeys(files *pb.TLSFiles) (keyMaterial, error) {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
-		return keys{}, fmt.Errorf("transport: certificate %s with key %s: %w", files.Certificate, files.Key, err)
+		return keyMaterial{}, fmt.Errorf("transport: certificate %s with key %s: %w", files.Certificate, files.Key, err)
 	}
 	pem, err := os.ReadFile(files.Authorities)
 	if err != nil {
-		return keys{}, fmt.Errorf("transport: authorities: %w", err)
+		return keyMaterial{}, fmt.Errorf("transport: authorities: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return keys{}, fmt.Errorf("transport: authorities %s: no certificate found", files.Authorities)
+		return keyMaterial{}, fmt.Errorf("transport: authorities %s: no certificate found", files.Authorities)
 	}
-	return keys{&certificate, pool}, nil
+	return keyMaterial{&certificate, pool}, nil
 }
 
-// fileStamp changes when one of the files changes its size or modification time.
-func fileStamp(files *pb.TLSFiles) (string, error) {
-	stamp := ""
+// fileFingerprint returns a text that changes with the size or modification time of any of the files.
+func fileFingerprint(files *pb.TLSFiles) (string, error) {
+	fingerprint := ""
 	for _, name := range []string{files.Certificate, files.Key, files.Authorities} {
 		info, err := os.Stat(name)
 		if err != nil {
 			return "", fmt.Errorf("transport: %w", err)
 		}
-		stamp += fmt.Sprintf("%d/%d ", info.Size(), info.ModTime().UnixNano())
+		fingerprint += fmt.Sprintf("%d/%d ", info.Size(), info.ModTime().UnixNano())
 	}
-	return stamp, nil
+	return fingerprint, nil
 }
 
-// current returns the keys in force and reads the files again when they have changed.
-func (c *Credentials) current() keys {
+// current returns the keys in use, after reloading the files if they have changed.
+func (c *Credentials) current() keyMaterial {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.files == nil || time.Since(c.checked) < reloadCheck {
+	if c.files == nil || time.Since(c.checked) < reloadCheckInterval {
 		return c.keys
 	}
 	c.checked = time.Now()
-	stamp, err := fileStamp(c.files)
-	if err == nil && stamp == c.stamp {
+	fingerprint, err := fileFingerprint(c.files)
+	if err == nil && fingerprint == c.fingerprint {
 		return c.keys
 	}
-	var loaded keys
+	var loaded keyMaterial
 	if err == nil {
 		loaded, err = loadKeys(c.files)
 	}
 	if err != nil {
-		// A rotation that replaces the files one by one is seen halfway; the next look sees the rest.
+		// A rotation that replaces the files one by one may be observed incomplete; a later check reads the rest.
 		c.warn(err)
 		return c.keys
 	}
-	c.keys, c.stamp = loaded, stamp
+	c.keys, c.fingerprint = loaded, fingerprint
 	return c.keys
 }
 
@@ -122,9 +122,9 @@
 	}
 }
 
-// tlsConfig serves both directions. Verification is done by verify, because nodes are dialled by address and
-// named by their certificate. Session tickets are off so that each handshake is checked against the
-// authorities in force.
+// tlsConfig returns the configuration for incoming and outgoing connections. The method verify replaces the standard
+// verification, because nodes are dialled by address and identified by the name in their certificate. Session tickets
+// are disabled so that each handshake is checked against the current authorities.
 func (c *Credentials) tlsConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -142,7 +142,7 @@
 	}
 }
 
-// verify checks the peer's chain against the authorities in force.
+// verify checks the peer's certificate chain against the current authorities.
 func (c *Credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return fmt.Errorf("%w: no certificate", ErrPeerRefused)
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// checkName refuses an envelope whose sender is not the holder of the certificate. Names match exactly:
-// a wildcard in a certificate matches no node.
-func checkName(state tls.ConnectionState, from string) error {
+// verifySender rejects an envelope whose sender is not a name of the peer's certificate. Names are compared exactly: a
+// wildcard in a certificate matches no node.
+func verifySender(state tls.ConnectionState, from string) error {
 	leaf := state.PeerCertificates[0]
 	if leaf.Subject.CommonName == from || slices.Contains(leaf.DNSNames, from) {
 		return nil
--- a/internal/transport/devauthority.go
+++ b/internal/transport/devauthority.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// devLifetime bounds the use of keys made for development; they are never written by the product.
+// devLifetime is the validity of certificates for development. This package never writes them or their keys to files.
 const devLifetime = 24 * time.Hour
 
 // DevAuthority issues short-lived certificates for the dev command and for tests. Its key exists in memory only.
@@ -22,7 +22,7 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewDevAuthority makes an authority.
+// NewDevAuthority generates the key and the self-signed certificate of an authority.
 func NewDevAuthority() (*DevAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// issue makes a key and a certificate for a node.
+// issue generates a key for a node and issues a certificate for it.
 func (a *DevAuthority) issue(node string) (der []byte, key *ecdsa.PrivateKey, err error) {
 	if key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader); err != nil {
 		return nil, nil, err
@@ -74,7 +74,7 @@
 	return der, key, err
 }
 
-// Credentials returns credentials for a node that trust this authority only.
+// Credentials issues credentials for a node that trust only this authority.
 func (a *DevAuthority) Credentials(node string) (*Credentials, error) {
 	der, key, err := a.issue(node)
 	if err != nil {
@@ -83,10 +83,11 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
 	certificate := &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
-	return &Credentials{keys: keys{certificate, pool}}, nil
+	return &Credentials{keys: keyMaterial{certificate, pool}}, nil
 }
 
-// PEM returns a node's certificate and key, and the authority's certificate, in the form of TLSFiles.
+// PEM issues a certificate for a node and returns it with its key and the authority's certificate, all PEM-encoded as
+// the files of TLSFiles are.
 func (a *DevAuthority) PEM(node string) (certificate, key, authority []byte, err error) {
 	der, private, err := a.issue(node)
 	if err != nil {
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -8,7 +8,8 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// Guards against bytes from a peer that make decoding or answering panic, or that allocate more than arrived.
+// Guards against bytes from a peer that make the decoder or the handling of a request panic, and against a decoder that
+// reports more bytes than it was given.
 func FuzzEnvelope(f *testing.F) {
 	tr := &Transport{opts: Options{Node: "a", MaxMessage: 1 << 16}}
 	tr.SetHandler(func(_ context.Context, _ string, env *pb.Envelope) (*pb.Envelope, error) { return echo(env) })
@@ -17,7 +18,7 @@
 		{Body: &pb.Envelope_GossipPush{GossipPush: &pb.GossipPush{Items: []*pb.GossipItem{{Key: "member/a"}}}}},
 		{Body: &pb.Envelope_StreamOpen{}},
 	} {
-		data, err := encode(tr.stamp(env), 1<<16)
+		data, err := encode(tr.withSender(env), 1<<16)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -32,7 +33,7 @@
 		if err != nil {
 			return
 		}
-		reply := tr.stamp(tr.handle(context.Background(), env))
+		reply := tr.withSender(tr.callHandler(context.Background(), env))
 		if _, err := encode(reply, 1<<16); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// silenceBound is how long a connection may return nothing after a packet was sent on it. QUIC acknowledges
-	// within 25 ms and repeats lost packets several times within this time.
-	silenceBound = time.Second
-	// maxConnectionAge makes long-lived connections repeat the handshake, so that a withdrawn authority takes
-	// effect on them as well.
+	// silenceTimeout is how long no packet may arrive on a connection after a message was sent on it. QUIC acknowledges
+	// within 25 ms and retransmits lost packets several times within this time.
+	silenceTimeout = time.Second
+	// maxConnectionAge forces a new handshake for long-lived connections, so that the removal of an authority also takes
+	// effect on them.
 	maxConnectionAge = 10 * time.Minute
-	// retireTime lets requests in progress finish on a connection that has been replaced.
-	retireTime = 10 * time.Second
-	// maxPending bounds the messages of Send that wait for a handshake, per peer.
+	// retireDelay is how long requests in progress may continue on a connection that has been replaced.
+	retireDelay = 10 * time.Second
+	// maxPending bounds the messages of Send that wait for a handshake with one peer.
 	maxPending = 32
 	// sendTimeout bounds how long Send may block in QUIC's send queue.
 	sendTimeout = 20 * time.Millisecond
-	// maxOutgoing bounds the peers with a connection or a dial in progress.
+	// maxOutgoing bounds the number of peers that have a connection or a dial in progress.
 	maxOutgoing = 1024
 )
 
 // connection is one outgoing connection with its own socket.
 type connection struct {
-	quic   *quic.Conn
-	socket *net.UDPConn
-	trans  *quic.Transport
-	opened time.Time
+	quic      *quic.Conn
+	socket    *net.UDPConn
+	transport *quic.Transport
+	openedAt  time.Time
 
 	mu sync.Mutex
-	// received is the number of packets received when the oldest unanswered send began, at since.
-	received uint64
-	since    time.Time
+	// receivedBefore is the number of packets that had been received when the oldest send without any packet received
+	// since then was recorded, at unansweredSince.
+	receivedBefore  uint64
+	unansweredSince time.Time
 }
 
-// peer is the state of one address: at most one connection in use and one dial in progress.
+// peer is the state of one address: at most one connection in use and at most one dial in progress.
 type peer struct {
 	addr    string
 	conn    *connection
@@ -54,16 +55,16 @@
 	kinds   []string // kind of each pending message
 }
 
-// noteSend records a send and reports whether the connection has been silent for too long before it.
-func (c *connection) noteSend(now time.Time) (silent bool) {
+// recordSend records a send and reports whether the connection has been silent for longer than silenceTimeout.
+func (c *connection) recordSend(now time.Time) (silent bool) {
 	n := c.quic.ConnectionStats().PacketsReceived
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.since.IsZero() || n != c.received {
-		c.received, c.since = n, now
+	if c.unansweredSince.IsZero() || n != c.receivedBefore {
+		c.receivedBefore, c.unansweredSince = n, now
 		return false
 	}
-	return now.Sub(c.since) > silenceBound
+	return now.Sub(c.unansweredSince) > silenceTimeout
 }
 
 func (c *connection) alive() bool { return c.quic.Context().Err() == nil }
@@ -72,15 +73,16 @@
 	_ = c.quic.CloseWithError(why, text)
 }
 
-// Request sends env to the node at addr and returns its answer. An Ack with a code is returned as *code.Error.
-// A request that fails is not repeated, because it may have been handled.
+// Request sends env to the node at addr and returns its reply. An Ack with a code is returned as a *code.Error. Without
+// a deadline in ctx, the request times out after DefaultTimeout. A request that fails is not retried, because the peer
+// may have handled it.
 func (t *Transport) Request(ctx context.Context, addr string, env *pb.Envelope) (*pb.Envelope, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, DefaultTimeout)
 		defer cancel()
 	}
-	data, err := encode(t.stamp(env), t.opts.MaxMessage)
+	data, err := encode(t.withSender(env), t.opts.MaxMessage)
 	if err != nil {
 		return nil, err
 	}
@@ -96,67 +98,68 @@
 		}
 		return nil, fmt.Errorf("transport: request to %s: %w", addr, err)
 	}
-	return ackError(reply)
+	return errorFromAck(reply)
 }
 
-// ackError returns an Ack with a code as an error.
-func ackError(env *pb.Envelope) (*pb.Envelope, error) {
+// errorFromAck converts an Ack with a code to an error and returns any other envelope unchanged.
+func errorFromAck(env *pb.Envelope) (*pb.Envelope, error) {
 	if ack := env.GetAck(); ack.GetCode() != 0 {
 		return nil, &code.Error{Code: code.Code(ack.Code), Ran: code.RanUnknown, Message: ack.Message}
 	}
 	return env, nil
 }
 
-// exchange runs one request on a stream of its own.
+// exchange sends one request on its own stream and reads the reply.
 func (t *Transport) exchange(ctx context.Context, c *connection, kind string, data []byte) (*pb.Envelope, error) {
 	stream, err := c.quic.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, err
 	}
-	// The context's end stops a blocked read or write.
+	// Unblock a read or write when the context ends.
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(streamFailed)
 		stream.CancelWrite(streamFailed)
 	})
 	defer stop()
 	if _, err := stream.Write(data); err != nil {
-		return nil, causeOf(ctx, err)
+		return nil, contextError(ctx, err)
 	}
 	t.counts.addSent(kind, len(data))
 	if err := stream.Close(); err != nil {
-		return nil, causeOf(ctx, err)
+		return nil, contextError(ctx, err)
 	}
 	reply, n, err := decode(stream, t.opts.MaxMessage)
 	if err == nil {
-		err = checkName(c.quic.ConnectionState().TLS, reply.From)
+		err = verifySender(c.quic.ConnectionState().TLS, reply.From)
 	}
 	if err != nil {
 		stream.CancelRead(streamFailed)
-		return nil, causeOf(ctx, err)
+		return nil, contextError(ctx, err)
 	}
 	t.counts.addReceived(Kind(reply), n)
 	return reply, nil
 }
 
-// causeOf prefers the context's error to the error of the stream that it cancelled.
-func causeOf(ctx context.Context, err error) error {
+// contextError returns the error of ctx if it has ended, and otherwise err: a stream that is cancelled because of its
+// context returns an error that hides the reason.
+func contextError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	return err
 }
 
-// Send sends env without an answer. It does not wait for a handshake: messages wait in a short queue while the
-// connection is dialled and are dropped when the queue is full or the dial fails.
+// Send sends env as a one-way message. It does not wait for a handshake: while the connection is dialled, messages are
+// queued, and they are dropped if the queue is full or the dial fails.
 func (t *Transport) Send(addr string, env *pb.Envelope) {
-	data, err := encode(t.stamp(env), maxOneWay)
+	data, err := encode(t.withSender(env), maxOneWayMessage)
 	if err != nil {
 		t.log.WithError(err).Error("message not sent")
-		t.drop(1)
+		t.countDropped(1)
 		return
 	}
 	kind := Kind(env)
-	c := t.usable(addr)
+	c := t.usableConnection(addr)
 	if c == nil {
 		t.enqueue(addr, kind, data)
 		return
@@ -164,7 +167,7 @@
 	t.write(c, kind, data)
 }
 
-func (t *Transport) drop(n int) {
+func (t *Transport) countDropped(n int) {
 	t.counts.update(func(s *Stats) { s.Dropped += uint64(n) })
 }
 
@@ -172,21 +175,22 @@
 func (t *Transport) write(c *connection, kind string, data []byte) {
 	stream, err := c.quic.OpenUniStream()
 	if err != nil {
-		t.drop(1)
+		t.countDropped(1)
 		return
 	}
 	_ = stream.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if _, err := stream.Write(data); err != nil {
 		stream.CancelWrite(streamFailed)
-		t.drop(1)
+		t.countDropped(1)
 		return
 	}
 	_ = stream.Close()
 	t.counts.addSent(kind, len(data))
 }
 
-// usable returns the connection to addr when it can take a message now.
-func (t *Transport) usable(addr string) *connection {
+// usableConnection returns the connection to addr, or nil if there is none that can be used now. It takes a connection
+// out of use that has ended, has been silent for too long or is older than maxConnectionAge.
+func (t *Transport) usableConnection(addr string) *connection {
 	t.mu.Lock()
 	p := t.peers[addr]
 	var c *connection
@@ -200,21 +204,21 @@
 	now := time.Now()
 	switch {
 	case !c.alive():
-		t.forget(addr, c)
+		t.removeConnection(addr, c)
 		return nil
-	case c.noteSend(now):
+	case c.recordSend(now):
 		t.replace(addr, c, true)
 		return nil
-	case now.Sub(c.opened) > maxConnectionAge:
+	case now.Sub(c.openedAt) > maxConnectionAge:
 		t.retire(addr, c)
 		return nil
 	}
 	return c
 }
 
-// connect returns the connection to addr and dials it when there is none.
+// connect returns the connection to addr. If there is none, it dials and waits for the result.
 func (t *Transport) connect(ctx context.Context, addr string) (*connection, error) {
-	if c := t.usable(addr); c != nil {
+	if c := t.usableConnection(addr); c != nil {
 		return c, nil
 	}
 	t.mu.Lock()
@@ -242,13 +246,13 @@
 	return p.conn, nil
 }
 
-// enqueue keeps a message until the dial ends.
+// enqueue queues a message until the dial ends.
 func (t *Transport) enqueue(addr, kind string, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, err := t.dialLocked(addr)
 	if err != nil || len(p.pending) >= maxPending {
-		t.drop(1)
+		t.countDropped(1)
 		return
 	}
 	p.pending = append(p.pending, data)
@@ -258,7 +262,8 @@
 	}
 }
 
-// dialLocked returns the peer and starts a dial when it has neither a connection nor a dial in progress.
+// dialLocked returns the peer and starts a dial if it has neither a connection nor a dial in progress. The caller holds
+// t.mu.
 func (t *Transport) dialLocked(addr string) (*peer, error) {
 	if t.closed {
 		return nil, ErrClosed
@@ -279,7 +284,7 @@
 	return p, nil
 }
 
-// dial opens a connection from a new source port and sends the messages that waited for it.
+// dial opens a connection from a new source port and sends the queued messages.
 func (t *Transport) dial(p *peer) {
 	defer t.running.Done()
 	t.counts.update(func(s *Stats) { s.Dials++ })
@@ -294,14 +299,15 @@
 		p.conn, p.dialErr = nil, ErrClosed
 	}
 	if p.conn == nil {
-		t.drop(len(p.pending))
+		t.countDropped(len(p.pending))
 		delete(t.peers, p.addr)
 		return
 	}
 	t.flushLocked(p)
 }
 
-// flushLocked sends the waiting messages on a goroutine, so that no lock is held across I/O.
+// flushLocked sends the queued messages in a new goroutine, so that t.mu, which the caller holds, is not held during
+// I/O.
 func (t *Transport) flushLocked(p *peer) {
 	c, pending, kinds := p.conn, p.pending, p.kinds
 	p.pending, p.kinds = nil, nil
@@ -312,13 +318,13 @@
 	go func() {
 		defer t.running.Done()
 		for i, data := range pending {
-			c.noteSend(time.Now())
+			c.recordSend(time.Now())
 			t.write(c, kinds[i], data)
 		}
 	}()
 }
 
-// handshake opens a connection on a socket of its own and releases the socket when the connection ends.
+// handshake opens a connection on its own socket. The socket is closed when the connection ends.
 func (t *Transport) handshake(addr string) (*connection, error) {
 	remote, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -329,16 +335,16 @@
 	if err != nil {
 		return nil, err
 	}
-	trans := &quic.Transport{Conn: socket}
+	transport := &quic.Transport{Conn: socket}
 	ctx, cancel := context.WithTimeout(t.ctx, handshakeTimeout)
 	defer cancel()
-	qc, err := trans.Dial(ctx, remote, t.opts.Credentials.tlsConfig(), quicConfig())
+	qc, err := transport.Dial(ctx, remote, t.opts.Credentials.tlsConfig(), quicConfig())
 	if err != nil {
-		_ = trans.Close()
+		_ = transport.Close()
 		_ = socket.Close()
 		return nil, err
 	}
-	c := &connection{quic: qc, socket: socket, trans: trans, opened: time.Now()}
+	c := &connection{quic: qc, socket: socket, transport: transport, openedAt: time.Now()}
 	t.mu.Lock()
 	t.open[c] = struct{}{}
 	t.mu.Unlock()
@@ -347,21 +353,22 @@
 	return c, nil
 }
 
-// release frees what a connection holds once it has ended.
+// release waits until a connection has ended and frees its resources.
 func (t *Transport) release(addr string, c *connection) {
 	defer t.running.Done()
 	<-c.quic.Context().Done()
-	t.forget(addr, c)
+	t.removeConnection(addr, c)
 	t.mu.Lock()
 	delete(t.open, c)
 	t.mu.Unlock()
 	t.counts.addWire(c.quic.ConnectionStats())
-	_ = c.trans.Close()
+	_ = c.transport.Close()
 	_ = c.socket.Close()
 }
 
-// forget removes the connection so that the next message dials.
-func (t *Transport) forget(addr string, c *connection) (was bool) {
+// removeConnection takes a connection out of use, so that the next message dials. It reports whether the connection was
+// in use.
+func (t *Transport) removeConnection(addr string, c *connection) (removed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[addr]
@@ -375,8 +382,8 @@
 	return true
 }
 
-// replace drops a connection after a timeout. A silent one is closed at once; one that still returns packets has
-// a slow handler behind it, and requests in progress on it may finish.
+// replace takes a connection out of use after a timeout or a silence. A silent one is closed at once. One on which
+// packets still arrive has a slow handler at the other end, and its requests in progress may finish.
 func (t *Transport) replace(addr string, c *connection, silent bool) {
 	if !t.retire(addr, c) {
 		return
@@ -387,16 +394,16 @@
 	}
 }
 
-// retire takes a connection out of use and closes it after retireTime.
+// retire takes a connection out of use and closes it after retireDelay. It reports whether the connection was in use.
 func (t *Transport) retire(addr string, c *connection) bool {
-	if !t.forget(addr, c) {
+	if !t.removeConnection(addr, c) {
 		return false
 	}
-	time.AfterFunc(retireTime, func() { c.close(closeNormal, "replaced") })
+	time.AfterFunc(retireDelay, func() { c.close(closeNormal, "replaced") })
 	return true
 }
 
-// openConnections returns the outgoing connections, those that are being retired included.
+// openConnections returns the open outgoing connections, including those that have been retired.
 func (t *Transport) openConnections() []*connection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/stats.go
+++ b/internal/transport/stats.go
@@ -6,28 +6,28 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Count is a number of messages and their bytes, with the length prefix and without QUIC's overhead.
+// Count is a number of messages and their size in bytes, including the length prefix but not QUIC's overhead.
 type Count struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-// Stats are totals since the start of the transport.
+// Stats are totals since the transport was created.
 type Stats struct {
 	// Sent and Received count messages by kind, such as "gossip_push".
 	Sent, Received map[string]Count
-	// WireSent and WireReceived are bytes of QUIC packets on outgoing connections, with handshakes and
-	// retransmissions and without UDP and IP headers.
+	// WireSent and WireReceived are bytes of QUIC packets on outgoing connections, including handshakes and
+	// retransmissions but not UDP and IP headers.
 	WireSent, WireReceived uint64
-	// Dials counts handshakes that were started, Replaced counts connections closed for silence or a timeout.
+	// Dials counts started handshakes. Replaced counts connections taken out of use after a silence or a timeout.
 	Dials, Replaced uint64
 	// Dropped counts messages of Send that were not written.
 	Dropped uint64
-	// Outgoing and Incoming are the open connections.
+	// Outgoing and Incoming are the numbers of open connections.
 	Outgoing, Incoming int
 }
 
-// counters are the sums behind Stats. The lock is held for a few additions only.
+// counters accumulate the values of Stats. The lock is held only for a few additions or a copy.
 type counters struct {
 	mu             sync.Mutex
 	sent, received map[string]Count
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,19 +1,18 @@
 // Package transport carries messages between nodes over QUIC with mutual TLS.
 //
-// A request uses one bidirectional stream, a message without an answer one unidirectional stream; both carry one
-// length-prefixed envelope per direction. Streams are used for both because QUIC repeats lost packets, which
-// datagrams would not.
+// A request uses one bidirectional stream and a one-way message one unidirectional stream; both carry one
+// length-prefixed envelope per direction. One-way messages use streams rather than datagrams because QUIC retransmits
+// the lost data of streams only.
 //
-// There is one outgoing connection per peer, dialled on demand and used in one direction. It has no keep-alive
-// and ends after idleTimeout without traffic: with 400 nodes a keep-alive would grow into a full mesh, and
-// whoever needs to know that a peer lives sends probes anyway. Gossip and membership use a small view of peers
-// that changes slowly, so that their connections stay open between messages; a handshake with two certificates
-// costs as much as dozens of messages.
+// There is one outgoing connection per peer, which is dialled on demand and carries only requests and messages of this
+// node. It has no keep-alive and ends after idleTimeout without traffic: with 400 nodes, keep-alives would maintain a
+// full mesh, and failure detection sends its own probes. Gossip and membership use a small, slowly changing view of
+// peers, so that their connections stay open between messages; a handshake with two certificates costs as much as
+// dozens of messages.
 //
-// Each outgoing connection has its own UDP socket. A path can go silent for one pair of ports while others
-// work, so a connection on which a request times out, or from which nothing arrives for silenceBound after
-// something was sent, is dropped and the next message dials from a new source port. A failed request is never
-// sent again by this package.
+// Each outgoing connection has its own UDP socket. Packets can be lost for good on one pair of ports while others work.
+// A connection is therefore replaced when a request on it times out, or when nothing arrives for silenceTimeout after
+// something was sent; the next message then dials from a new source port. This package never retries a failed request.
 package transport
 
 import (
@@ -35,28 +34,28 @@
 const (
 	// DefaultTimeout bounds a request whose context has no deadline.
 	DefaultTimeout = 2 * time.Second
-	// DefaultMaxMessage bounds a request or an answer, in bytes. The largest are configuration snapshots and
-	// the requests of long prompts.
+	// DefaultMaxMessage bounds a request or a reply, in bytes. The largest are configuration snapshots and requests
+	// with long prompts.
 	DefaultMaxMessage = 8 << 20
-	// maxOneWay bounds a message of Send, in bytes; gossip stays far below it.
-	maxOneWay = 64 << 10
+	// maxOneWayMessage bounds a message of Send, in bytes; gossip messages are far smaller.
+	maxOneWayMessage = 64 << 10
 
-	// idleTimeout closes unused connections. It is longer than the time a peer stays in the view of gossip, so
-	// that only peers that left the view are disconnected.
+	// idleTimeout closes unused connections. It is longer than the time for which a peer stays in the gossip view, so
+	// that only peers that have left the view are disconnected.
 	idleTimeout = 30 * time.Second
-	// handshakeTimeout is short because regions are at most some hundred milliseconds apart.
+	// handshakeTimeout is short because the latency between regions is at most a few hundred milliseconds.
 	handshakeTimeout = 2 * time.Second
 	// receiveTimeout bounds how long a peer may take to send one message.
 	receiveTimeout = 10 * time.Second
 
-	// maxIncoming bounds the connections from peers; the target size has 400 nodes.
+	// maxIncoming bounds the connections from peers; the target deployment has 400 nodes.
 	maxIncoming = 1024
 	// maxStreams bounds the open streams per connection and direction.
 	maxStreams = 256
-	// maxHandlers bounds the messages in progress over all connections; more wait in QUIC's flow control.
+	// maxHandlers bounds the concurrent handlers of all connections; QUIC's flow control holds back further messages.
 	maxHandlers = 1024
 
-	// Flow control windows in bytes. Small first windows bound what many idle connections can hold.
+	// Flow control windows in bytes. Small initial windows bound the memory that many idle connections can use.
 	streamWindow, maxStreamWindow = 64 << 10, 1 << 20
 	connWindow, maxConnWindow     = 128 << 10, 4 << 20
 )
@@ -69,11 +68,11 @@
 	streamFailed quic.StreamErrorCode      = 1
 )
 
-// ErrClosed is returned by a transport after Close.
+// ErrClosed is returned for requests after Close.
 var ErrClosed = errors.New("transport: closed")
 
-// Handler handles a message from a peer whose certificate bears the name from. The answer is ignored for
-// messages of Send. An error becomes an Ack with the error's result code.
+// Handler handles a message from a peer whose certificate is issued for the name from. The reply is ignored for
+// messages of Send. An error is sent as an Ack with the error's result code.
 type Handler func(ctx context.Context, from string, env *pb.Envelope) (*pb.Envelope, error)
 
 // Options configure a transport.
@@ -84,24 +83,24 @@
 	Addr        string
 	Credentials *Credentials
 	Log         *logrus.Entry
-	// MaxMessage bounds requests and answers in bytes; 0 means DefaultMaxMessage.
+	// MaxMessage bounds requests and replies in bytes; 0 means DefaultMaxMessage.
 	MaxMessage int
 }
 
-// Transport sends and receives messages of one node. All methods may be called from several goroutines.
+// Transport sends and receives the messages of one node. Its methods are safe for concurrent use.
 type Transport struct {
-	opts     Options
-	log      *logrus.Entry
-	handler  atomic.Pointer[Handler]
-	socket   *net.UDPConn
-	quic     *quic.Transport
-	listener *quic.Listener
-	counts   *counters
-	slots    chan struct{}
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	incoming atomic.Int64
+	opts         Options
+	log          *logrus.Entry
+	handler      atomic.Pointer[Handler]
+	socket       *net.UDPConn
+	quic         *quic.Transport
+	listener     *quic.Listener
+	counts       *counters
+	handlerSlots chan struct{}
+	ctx          context.Context
+	cancel       context.CancelFunc
+	running      sync.WaitGroup
+	incoming     atomic.Int64
 
 	mu     sync.Mutex
 	peers  map[string]*peer
@@ -109,7 +108,8 @@
 	closed bool
 }
 
-// New listens on opts.Addr. Messages are refused until SetHandler is called.
+// New returns a transport that listens on opts.Addr. Until SetHandler is called, requests are answered with not_found
+// and one-way messages are discarded.
 func New(opts Options) (*Transport, error) {
 	if opts.Node == "" || opts.Credentials == nil {
 		return nil, errors.New("transport: node name and credentials are required")
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("transport: %w", err)
 	}
 	t := &Transport{opts: opts, log: opts.Log, socket: socket, quic: &quic.Transport{Conn: socket},
-		counts: newCounters(), slots: make(chan struct{}, maxHandlers), peers: map[string]*peer{},
+		counts: newCounters(), handlerSlots: make(chan struct{}, maxHandlers), peers: map[string]*peer{},
 		open: map[*connection]struct{}{}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.listener, err = t.quic.Listen(opts.Credentials.tlsConfig(), quicConfig())
@@ -153,7 +153,7 @@
 		MaxConnectionReceiveWindow:     maxConnWindow,
 		MaxIncomingStreams:             maxStreams,
 		MaxIncomingUniStreams:          maxStreams,
-		// Messages are small; probes for a larger packet size would cost more than they save.
+		// Messages are small, so probing for a larger packet size would cost more than it saves.
 		DisablePathMTUDiscovery: true,
 	}
 }
@@ -164,10 +164,10 @@
 	t.handler.Store(&handler)
 }
 
-// Addr returns the address the transport listens on, as IP:port.
+// Addr returns the address that the transport listens on, as IP:port.
 func (t *Transport) Addr() string { return t.socket.LocalAddr().String() }
 
-// Stats returns the totals since the start.
+// Stats returns the totals since the transport was created.
 func (t *Transport) Stats() Stats {
 	out := t.counts.snapshot()
 	out.Incoming = int(t.incoming.Load())
@@ -180,7 +180,7 @@
 	return out
 }
 
-// Close ends all connections and waits for the handlers in progress.
+// Close closes all connections and waits for the running handlers.
 func (t *Transport) Close() error {
 	t.mu.Lock()
 	if t.closed {
@@ -202,7 +202,7 @@
 	return err
 }
 
-// accept takes connections from peers.
+// accept accepts connections from peers.
 func (t *Transport) accept() {
 	defer t.running.Done()
 	for {
@@ -220,7 +220,7 @@
 	}
 }
 
-// serve takes the streams of one connection until it ends.
+// serve accepts the streams of one connection until it ends.
 func (t *Transport) serve(conn *quic.Conn) {
 	defer t.running.Done()
 	defer t.incoming.Add(-1)
@@ -232,7 +232,7 @@
 			if err != nil {
 				return
 			}
-			t.start(func() { t.receive(conn, stream) })
+			t.runHandler(func() { t.handleOneWay(conn, stream) })
 		}
 	}()
 	for {
@@ -240,38 +240,38 @@
 		if err != nil {
 			break
 		}
-		t.start(func() { t.answer(conn, stream) })
+		t.runHandler(func() { t.handleRequest(conn, stream) })
 	}
 	if t.ctx.Err() != nil {
 		_ = conn.CloseWithError(closeNormal, "node is closing")
 	}
 }
 
-// start runs f on a goroutine once a handler slot is free.
-func (t *Transport) start(f func()) {
+// runHandler waits for a free handler slot and runs f in a new goroutine.
+func (t *Transport) runHandler(f func()) {
 	select {
-	case t.slots <- struct{}{}:
+	case t.handlerSlots <- struct{}{}:
 	case <-t.ctx.Done():
 		return
 	}
 	t.running.Add(1)
 	go func() {
 		defer t.running.Done()
-		defer func() { <-t.slots }()
+		defer func() { <-t.handlerSlots }()
 		f()
 	}()
 }
 
-// receive handles one message of Send.
-func (t *Transport) receive(conn *quic.Conn, stream *quic.ReceiveStream) {
+// handleOneWay handles one message of Send.
+func (t *Transport) handleOneWay(conn *quic.Conn, stream *quic.ReceiveStream) {
 	_ = stream.SetReadDeadline(time.Now().Add(receiveTimeout))
-	env, n, err := decode(stream, maxOneWay)
+	env, n, err := decode(stream, maxOneWayMessage)
 	if err == nil {
-		err = checkName(conn.ConnectionState().TLS, env.From)
+		err = verifySender(conn.ConnectionState().TLS, env.From)
 	}
 	if err != nil {
 		stream.CancelRead(streamFailed)
-		t.refuse(conn, err)
+		t.rejectPeer(conn, err)
 		return
 	}
 	t.counts.addReceived(Kind(env), n)
@@ -280,25 +280,25 @@
 	}
 }
 
-// answer handles one request.
-func (t *Transport) answer(conn *quic.Conn, stream *quic.Stream) {
+// handleRequest handles one request and sends the reply.
+func (t *Transport) handleRequest(conn *quic.Conn, stream *quic.Stream) {
 	_ = stream.SetReadDeadline(time.Now().Add(receiveTimeout))
 	env, n, err := decode(stream, t.opts.MaxMessage)
 	if err == nil {
-		err = checkName(conn.ConnectionState().TLS, env.From)
+		err = verifySender(conn.ConnectionState().TLS, env.From)
 	}
 	if err != nil {
 		stream.CancelRead(streamFailed)
 		stream.CancelWrite(streamFailed)
-		t.refuse(conn, err)
+		t.rejectPeer(conn, err)
 		return
 	}
 	t.counts.addReceived(Kind(env), n)
-	reply := t.handle(stream.Context(), env)
-	data, err := encode(t.stamp(reply), t.opts.MaxMessage)
+	reply := t.callHandler(stream.Context(), env)
+	data, err := encode(t.withSender(reply), t.opts.MaxMessage)
 	if err != nil {
-		reply = ackOf(err)
-		data, _ = encode(t.stamp(reply), t.opts.MaxMessage)
+		reply = ackFromError(err)
+		data, _ = encode(t.withSender(reply), t.opts.MaxMessage)
 	}
 	_ = stream.SetWriteDeadline(time.Now().Add(receiveTimeout))
 	if _, err := stream.Write(data); err != nil {
@@ -309,16 +309,16 @@
 	t.counts.addSent(Kind(reply), len(data))
 }
 
-// handle calls the handler and turns its error into an Ack. A kind that this release does not know is answered
-// with not_found, so that a newer peer learns that it is not supported here.
-func (t *Transport) handle(ctx context.Context, env *pb.Envelope) *pb.Envelope {
+// callHandler calls the handler and converts its error to an Ack. A message kind that this release does not know gets
+// not_found, so that a newer peer learns that it is not supported.
+func (t *Transport) callHandler(ctx context.Context, env *pb.Envelope) *pb.Envelope {
 	h := t.handler.Load()
 	if h == nil || env.Body == nil {
-		return ackOf(code.New(code.NotFound, "message kind is not supported"))
+		return ackFromError(code.New(code.NotFound, "message kind is not supported"))
 	}
 	reply, err := (*h)(ctx, env.From, env)
 	if err != nil {
-		return ackOf(err)
+		return ackFromError(err)
 	}
 	if reply == nil || reply.Body == nil {
 		return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{}}}
@@ -326,20 +326,21 @@
 	return reply
 }
 
-// ackOf returns the answer for an error; details of causes stay on this node.
-func ackOf(err error) *pb.Envelope {
+// ackFromError returns the reply for an error. It omits the causes of the error, which stay on this node.
+func ackFromError(err error) *pb.Envelope {
 	e := code.From(err)
 	return &pb.Envelope{Body: &pb.Envelope_Ack{Ack: &pb.Ack{Code: uint32(e.Code), Message: e.Message}}}
 }
 
-// stamp returns an envelope with the same body and the sender's fields filled in. The argument is not changed,
-// because one message may be sent to several peers at the same time.
-func (t *Transport) stamp(env *pb.Envelope) *pb.Envelope {
+// withSender returns an envelope with the same body and the fields of this node as the sender. It does not modify env,
+// because one message may be sent to several peers concurrently.
+func (t *Transport) withSender(env *pb.Envelope) *pb.Envelope {
 	return &pb.Envelope{Protocol: ProtocolVersion, From: t.opts.Node, Region: t.opts.Region, Body: env.GetBody()}
 }
 
-// refuse closes a connection whose peer breaks the protocol or uses another node's name.
-func (t *Transport) refuse(conn *quic.Conn, err error) {
+// rejectPeer closes a connection whose peer violates the protocol or uses the name of another node. It ignores other
+// errors.
+func (t *Transport) rejectPeer(conn *quic.Conn, err error) {
 	if !errors.Is(err, ErrPeerRefused) && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrTooLarge) {
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,30 +18,30 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-func authority(t testing.TB) *DevAuthority {
+func newAuthority(t testing.TB) *DevAuthority {
 	t.Helper()
 	a, err := NewDevAuthority()
 	assert.NilError(t, err)
 	return a
 }
 
-// start runs a transport on loopback whose certificate has the node's name.
-func start(t testing.TB, a *DevAuthority, node string) *Transport {
+// startNode starts a transport on the loopback address with a certificate for the node's name.
+func startNode(t testing.TB, a *DevAuthority, node string) *Transport {
 	t.Helper()
 	credentials, err := a.Credentials(node)
 	assert.NilError(t, err)
-	return startWith(t, node, credentials)
+	return startWithCredentials(t, node, credentials)
 }
 
-func startWith(t testing.TB, node string, c *Credentials) *Transport {
+func startWithCredentials(t testing.TB, node string, c *Credentials) *Transport {
 	t.Helper()
-	tr, err := New(Options{Node: node, Region: "r", Addr: "127.0.0.1:0", Credentials: c, Log: quiet(), MaxMessage: 1 << 20})
+	tr, err := New(Options{Node: node, Region: "r", Addr: "127.0.0.1:0", Credentials: c, Log: discardLogger(), MaxMessage: 1 << 20})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = tr.Close() })
 	tr.SetHandler(func(_ context.Context, _ string, env *pb.Envelope) (*pb.Envelope, error) { return echo(env) })
@@ -59,60 +59,60 @@
 	return &pb.Envelope{Body: &pb.Envelope_ProbeAck{ProbeAck: &pb.ProbeAck{Number: env.GetProbe().Number, Reached: true}}}, nil
 }
 
-func within(t testing.TB, d time.Duration) context.Context {
+func timeoutContext(t testing.TB, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Guards against answers that reach another request, lost result codes and unbounded messages.
+// Guards against replies that are delivered to another request, lost result codes and unbounded messages.
 func TestRequests(t *testing.T) {
-	a := authority(t)
-	client, server := start(t, a, "a"), start(t, a, "b")
+	a := newAuthority(t)
+	client, server := startNode(t, a, "a"), startNode(t, a, "b")
 	var wg sync.WaitGroup
 	for i := range uint64(50) {
 		wg.Go(func() {
-			reply, err := client.Request(within(t, 5*time.Second), server.Addr(), probe(i))
+			reply, err := client.Request(timeoutContext(t, 5*time.Second), server.Addr(), probe(i))
 			if err != nil || reply.GetProbeAck().GetNumber() != i || reply.From != "b" {
 				t.Errorf("request %d: %v, %v", i, reply, err)
 			}
 		})
 	}
 	wg.Wait()
-	assert.Equal(t, client.Stats().Dials, uint64(1), "one connection must serve all requests")
+	assert.Equal(t, client.Stats().Dials, uint64(1), "all requests must share one connection")
 
-	_, err := client.Request(within(t, time.Second), server.Addr(), &pb.Envelope{Body: &pb.Envelope_StreamFetch{}})
+	_, err := client.Request(timeoutContext(t, time.Second), server.Addr(), &pb.Envelope{Body: &pb.Envelope_StreamFetch{}})
 	var e *code.Error
 	assert.Assert(t, errors.As(err, &e))
 	assert.Equal(t, e.Code, code.UnknownResponse)
 
-	_, err = client.Request(within(t, time.Second), server.Addr(), &pb.Envelope{Protocol: 2})
+	_, err = client.Request(timeoutContext(t, time.Second), server.Addr(), &pb.Envelope{Protocol: 2})
 	assert.Assert(t, errors.As(err, &e))
-	assert.Equal(t, e.Code, code.NotFound, "an unknown kind must be answered")
+	assert.Equal(t, e.Code, code.NotFound, "a request of an unknown kind must get a reply")
 
 	large := &pb.Envelope{Body: &pb.Envelope_ConfigState{ConfigState: &pb.ConfigState{Snapshot: make([]byte, 2<<20)}}}
-	_, err = client.Request(within(t, time.Second), server.Addr(), large)
+	_, err = client.Request(timeoutContext(t, time.Second), server.Addr(), large)
 	assert.ErrorIs(t, err, ErrTooLarge)
 	assert.Equal(t, client.Stats().Sent["probe"].Messages, uint64(50))
 	assert.Equal(t, server.Stats().Received["probe"].Messages, uint64(50))
 }
 
-// Guards against messages of Send that are lost while the connection is dialled, and against a blocked caller.
+// Guards against messages of Send that are lost while the connection is dialled, and against a Send that blocks.
 func TestSendBeforeTheConnectionExists(t *testing.T) {
-	a := authority(t)
-	client, server := start(t, a, "a"), start(t, a, "b")
+	a := newAuthority(t)
+	client, server := startNode(t, a, "a"), startNode(t, a, "b")
 	got := make(chan uint64, 10)
 	server.SetHandler(func(_ context.Context, from string, env *pb.Envelope) (*pb.Envelope, error) {
 		got <- env.GetProbe().Number
 		return nil, nil
 	})
-	begun := time.Now()
+	start := time.Now()
 	for i := range uint64(10) {
 		client.Send(server.Addr(), probe(i))
 	}
-	client.Send("127.0.0.1:1", probe(0)) // nobody listens there
-	assert.Assert(t, time.Since(begun) < time.Second)
+	client.Send("127.0.0.1:1", probe(0)) // no process listens on this port
+	assert.Assert(t, time.Since(start) < time.Second)
 	seen := map[uint64]bool{}
 	for range 10 {
 		select {
@@ -125,24 +125,24 @@
 	assert.Equal(t, len(seen), 10)
 }
 
-// Guards against a node that uses another node's name, and against a peer of a foreign authority.
+// Guards against a node that uses the name of another node, and against a peer whose authority is not trusted.
 func TestPeersAreVerified(t *testing.T) {
-	a := authority(t)
-	server := start(t, a, "b")
+	a := newAuthority(t)
+	server := startNode(t, a, "b")
 	c, err := a.Credentials("mallory")
 	assert.NilError(t, err)
-	_, err = startWith(t, "a", c).Request(within(t, time.Second), server.Addr(), probe(1))
+	_, err = startWithCredentials(t, "a", c).Request(timeoutContext(t, time.Second), server.Addr(), probe(1))
 	assert.Assert(t, err != nil, "the server must refuse an envelope from \"a\" with the certificate of \"mallory\"")
 
-	_, err = start(t, a, "a").Request(within(t, time.Second), startWith(t, "b", c).Addr(), probe(1))
+	_, err = startNode(t, a, "a").Request(timeoutContext(t, time.Second), startWithCredentials(t, "b", c).Addr(), probe(1))
 	assert.ErrorIs(t, err, ErrPeerRefused)
 
-	_, err = start(t, authority(t), "a").Request(within(t, time.Second), server.Addr(), probe(1))
-	assert.Assert(t, err != nil, "a foreign authority must be refused")
+	_, err = startNode(t, newAuthority(t), "a").Request(timeoutContext(t, time.Second), server.Addr(), probe(1))
+	assert.Assert(t, err != nil, "a certificate of an untrusted authority must be refused")
 	assert.Equal(t, server.Stats().Received["probe"].Messages, uint64(0))
 }
 
-// writeTLS writes a node's files; authorities are those of the given ones.
+// writeTLS writes the files of a node: a certificate from issuer with its key, and the trusted authorities.
 func writeTLS(t *testing.T, dir, node string, issuer *DevAuthority, trusted ...*DevAuthority) *pb.TLSFiles {
 	t.Helper()
 	files := &pb.TLSFiles{Certificate: filepath.Join(dir, node+".crt"), Key: filepath.Join(dir, node+".key"),
@@ -161,8 +161,8 @@
 	return files
 }
 
-// expire makes the next handshake look at the files again.
-func expire(credentials ...*Credentials) {
+// forceReload makes the next handshake check the files for changes.
+func forceReload(credentials ...*Credentials) {
 	for _, c := range credentials {
 		c.mu.Lock()
 		c.checked = time.Time{}
@@ -170,42 +170,42 @@
 	}
 }
 
-// Guards against a rotation that needs a restart, cuts off nodes that still use the old keys, or never ends the
-// trust in the old authority.
+// Guards against a key rotation that needs a restart, disconnects nodes that still use the old keys, or does not end
+// the trust in the old authority.
 func TestRotatedKeys(t *testing.T) {
-	older, newer := authority(t), authority(t)
+	older, newer := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	load := func(files *pb.TLSFiles) *Credentials {
-		c, err := LoadCredentials(files, quiet())
+		c, err := LoadCredentials(files, discardLogger())
 		assert.NilError(t, err)
 		return c
 	}
 	ca, cb := load(writeTLS(t, dir, "a", older, older)), load(writeTLS(t, dir, "b", older, older))
-	client, server := startWith(t, "a", ca), startWith(t, "b", cb)
-	// ask uses a fresh connection, because an open one keeps the keys of its handshake.
-	ask := func() error {
+	client, server := startWithCredentials(t, "a", ca), startWithCredentials(t, "b", cb)
+	// request uses a new connection, because an open one keeps the keys of its handshake.
+	request := func() error {
 		for _, c := range client.openConnections() {
-			client.forget(server.Addr(), c)
+			client.removeConnection(server.Addr(), c)
 			c.close(closeNormal, "test")
 		}
-		expire(ca, cb)
-		_, err := client.Request(within(t, 2*time.Second), server.Addr(), probe(1))
+		forceReload(ca, cb)
+		_, err := client.Request(timeoutContext(t, 2*time.Second), server.Addr(), probe(1))
 		return err
 	}
-	assert.NilError(t, ask())
+	assert.NilError(t, request())
 	writeTLS(t, dir, "a", newer, older, newer)
-	assert.Assert(t, ask() != nil, "b does not trust the newer authority yet")
+	assert.Assert(t, request() != nil, "b does not trust the newer authority yet")
 	writeTLS(t, dir, "b", older, older, newer)
-	assert.NilError(t, ask(), "both authorities are valid during the rotation")
+	assert.NilError(t, request(), "both authorities are valid during the rotation")
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "b.key"), []byte("half a fi"), 0o600))
-	assert.NilError(t, ask(), "a file that does not parse must leave the old keys in use")
+	assert.NilError(t, request(), "the old keys must stay in use while a file does not parse")
 	writeTLS(t, dir, "b", newer, newer)
-	assert.NilError(t, ask())
+	assert.NilError(t, request())
 	writeTLS(t, dir, "a", older, older, newer)
-	assert.Assert(t, ask() != nil, "the old authority must be refused after the rotation")
+	assert.Assert(t, request() != nil, "the old authority must be refused after the rotation")
 }
 
-// relay forwards UDP between clients and one server and can drop everything for the source ports seen so far.
+// relay forwards UDP packets between clients and one server. It can drop all packets of the source ports seen so far.
 type relay struct {
 	front  *net.UDPConn
 	server *net.UDPAddr
@@ -263,11 +263,11 @@
 		return nil
 	}
 	r.paths[from.String()] = path
-	go r.back(path, from)
+	go r.forwardReplies(path, from)
 	return path
 }
 
-func (r *relay) back(path *net.UDPConn, to *net.UDPAddr) {
+func (r *relay) forwardReplies(path *net.UDPConn, to *net.UDPAddr) {
 	buffer := make([]byte, 2048)
 	for {
 		n, err := path.Read(buffer)
@@ -283,8 +283,8 @@
 	}
 }
 
-// dropKnown silences every source port seen so far, in both directions.
-func (r *relay) dropKnown() {
+// dropSeenPorts drops all further packets of the source ports seen so far, in both directions.
+func (r *relay) dropSeenPorts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for from := range r.paths {
@@ -292,25 +292,25 @@
 	}
 }
 
-// Guards against requests that keep using a path that has gone silent: the request that meets the silence fails
-// once, and the next one works from a new source port.
+// Guards against requests that keep using a connection on which all packets are lost. The first request on it must fail
+// without a retry, and the next one must succeed from a new source port.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	a := authority(t)
-	client, server := start(t, a, "a"), start(t, a, "b")
+	a := newAuthority(t)
+	client, server := startNode(t, a, "a"), startNode(t, a, "b")
 	r := startRelay(t, server.Addr())
 	addr := r.front.LocalAddr().String()
-	_, err := client.Request(within(t, 2*time.Second), addr, probe(1))
+	_, err := client.Request(timeoutContext(t, 2*time.Second), addr, probe(1))
 	assert.NilError(t, err)
-	r.dropKnown()
-	_, err = client.Request(within(t, 300*time.Millisecond), addr, probe(2))
+	r.dropSeenPorts()
+	_, err = client.Request(timeoutContext(t, 300*time.Millisecond), addr, probe(2))
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
-	assert.Equal(t, server.Stats().Received["probe"].Messages, uint64(1), "the request must not be repeated")
-	_, err = client.Request(within(t, 2*time.Second), addr, probe(3))
+	assert.Equal(t, server.Stats().Received["probe"].Messages, uint64(1), "the request must not be retried")
+	_, err = client.Request(timeoutContext(t, 2*time.Second), addr, probe(3))
 	assert.NilError(t, err)
 	assert.Equal(t, client.Stats().Replaced, uint64(1))
 
-	// Messages of Send have no answer; missing acknowledgements of QUIC show the silence.
-	r.dropKnown()
+	// Messages of Send have no reply; the silence is detected by the missing acknowledgements of QUIC.
+	r.dropSeenPorts()
 	got := make(chan uint64, 100)
 	server.SetHandler(func(_ context.Context, _ string, env *pb.Envelope) (*pb.Envelope, error) {
 		got <- env.GetProbe().Number
@@ -330,10 +330,10 @@
 	}
 }
 
-// Guards against a slow handler whose timeout ends other requests on the same connection.
-func TestTimeoutOfOneRequestSparesOthers(t *testing.T) {
-	a := authority(t)
-	client, server := start(t, a, "a"), start(t, a, "b")
+// Guards against a request timeout, caused by a slow handler, that ends other requests on the same connection.
+func TestRequestTimeoutDoesNotAffectOthers(t *testing.T) {
+	a := newAuthority(t)
+	client, server := startNode(t, a, "a"), startNode(t, a, "b")
 	release := make(chan struct{})
 	server.SetHandler(func(_ context.Context, _ string, env *pb.Envelope) (*pb.Envelope, error) {
 		if env.GetProbe().Number != 3 {
@@ -341,14 +341,14 @@
 		}
 		return echo(env)
 	})
-	_, err := client.Request(within(t, 2*time.Second), server.Addr(), probe(3))
+	_, err := client.Request(timeoutContext(t, 2*time.Second), server.Addr(), probe(3))
 	assert.NilError(t, err)
 	done := make(chan error, 1)
 	go func() {
-		_, err := client.Request(within(t, 5*time.Second), server.Addr(), probe(1))
+		_, err := client.Request(timeoutContext(t, 5*time.Second), server.Addr(), probe(1))
 		done <- err
 	}()
-	_, err = client.Request(within(t, 200*time.Millisecond), server.Addr(), probe(2))
+	_, err = client.Request(timeoutContext(t, 200*time.Millisecond), server.Addr(), probe(2))
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	close(release)
 	assert.NilError(t, <-done)
