--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock waits with a context.
+// Package clock provides a sleep that ends with a context.
 package clock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, not at all when it is not positive. It returns false when ctx ends first.
+// Sleep waits for d; if d is not positive, it returns at once. It returns false if ctx ends first or has ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
