--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -60,7 +60,7 @@
 		cluster:  n.cluster,
 		instance: func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
 		busy:     func() bool { return n.openRequests.Load() > 0 },
-		renew:    func() { n.tracker.Renew() },
+		renew:    func() { n.tracker.RequestUpdate() },
 		workers:  map[string]*pb.WorkerState{},
 		own:      map[string]servers.Load{},
 		events:   map[string]uint64{},
--- a/internal/servers/follow.go
+++ b/internal/servers/follow.go
@@ -69,7 +69,7 @@
 	} else {
 		t.addUnknown(list)
 	}
-	t.Renew()
+	t.RequestUpdate()
 	return true
 }
 
@@ -181,7 +181,7 @@
 		t.instances[item.Id] = decodeItem(&item)
 	}
 	t.mu.Unlock()
-	t.Renew()
+	t.RequestUpdate()
 }
 
 // followNotices polls for reclaim notices while this node is one of their readers.
@@ -246,7 +246,7 @@
 	t.mu.Lock()
 	t.notices[strings.TrimPrefix(item.Key, noticePrefix)] = time.UnixMilli(int64(notice.DeadlineUnixMs))
 	t.mu.Unlock()
-	t.Renew()
+	t.RequestUpdate()
 }
 
 // Drain announces to all nodes that the fleet plan removes a server: it gets no new work, and responses that still run
@@ -276,7 +276,7 @@
 	t.mu.Lock()
 	t.drains[server] = deadline
 	t.mu.Unlock()
-	t.Renew()
+	t.RequestUpdate()
 }
 
 func (t *Tracker) drainOf(server string) (time.Time, bool) {
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// Renew requests an update of the router's list because the state of a server has changed. It does not wait for it.
-func (t *Tracker) Renew() {
+// RequestUpdate requests an update of the router's list because the state of a server has changed. It does not wait for
+// the update.
+func (t *Tracker) RequestUpdate() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
