--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -480,7 +480,7 @@
 		go n.cluster.announceConfig(current.Version, current.Digest)
 		return
 	}
-	n.config.Offer(context.Background(), version, digest, node)
+	n.config.HandleAnnouncement(context.Background(), version, digest, node)
 }
 
 // serverLeaving moves the responses that run on a server which is to leave.
--- a/pkg/configstore/fetch.go
+++ b/pkg/configstore/fetch.go
@@ -25,9 +25,9 @@
 
 var errNotFetched = errors.New("no peer and no object has the snapshot")
 
-// Offer records a version that a peer has announced. Run fetches it from that peer, from other peers or from the object
-// store. Offer does not wait for the fetch, and repeated announcements are harmless.
-func (s *Store) Offer(_ context.Context, version uint64, digest, fromPeer string) {
+// HandleAnnouncement records a version that a peer has announced. Run fetches it from that peer, from other peers or
+// from the object store. HandleAnnouncement does not wait for the fetch, and repeated announcements are harmless.
+func (s *Store) HandleAnnouncement(_ context.Context, version uint64, digest, fromPeer string) {
 	if version <= s.currentVersion() {
 		return
 	}
--- a/pkg/configstore/harness_test.go
+++ b/pkg/configstore/harness_test.go
@@ -199,7 +199,7 @@
 			return
 		}
 		for _, peer := range n.Sample(3) {
-			n.peer(peer).current().Offer(ctx, current.Version, current.Digest, n.name)
+			n.peer(peer).current().HandleAnnouncement(ctx, current.Version, current.Digest, n.name)
 		}
 		if !clock.Sleep(ctx, 300*time.Millisecond) {
 			return
@@ -211,10 +211,10 @@
 	for clock.Sleep(ctx, time.Duration(900+n.randIntN(200))*time.Millisecond) {
 		for _, peer := range n.Sample(1) {
 			if current := store.Current(); current != nil {
-				n.peer(peer).current().Offer(ctx, current.Version, current.Digest, n.name)
+				n.peer(peer).current().HandleAnnouncement(ctx, current.Version, current.Digest, n.name)
 			}
 			if theirs := n.peer(peer).current().Current(); theirs != nil {
-				store.Offer(ctx, theirs.Version, theirs.Digest, peer)
+				store.HandleAnnouncement(ctx, theirs.Version, theirs.Digest, peer)
 			}
 		}
 	}
--- a/pkg/configstore/store_test.go
+++ b/pkg/configstore/store_test.go
@@ -285,7 +285,7 @@
 				down.SetFaults(table.Faults{Outage: table.Refusing})
 				s := New(Options{Table: down, Objects: object.New(), Folder: view, Peers: fixedPeer{state}})
 				go s.Run(ctx)
-				s.Offer(ctx, 7, digest, "liar")
+				s.HandleAnnouncement(ctx, 7, digest, "liar")
 				time.Sleep(time.Minute)
 				assert.Equal(t, s.Current() != nil, name == "good")
 				cancel()
