--- a/internal/cli/configcheck.go
+++ b/internal/cli/configcheck.go
@@ -24,7 +24,7 @@
 	if len(faults) > 0 {
 		return ExitFault
 	}
-	text, err := config.Text(merged)
+	text, err := config.FormatJSON(merged)
 	if err != nil {
 		fmt.Fprintln(stdout, config.Fault{File: config.WholeFolder, Field: config.WholeFile, Reason: err.Error()})
 		return ExitFault
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -201,7 +201,7 @@
 		if merged == nil {
 			return
 		}
-		text, err := Text(merged)
+		text, err := FormatJSON(merged)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -218,9 +218,9 @@
 // Share returns the weight of the workspace in fair queueing; an unset share counts as DefaultWorkspaceShare.
 func Share(workspace *pb.Workspace) uint32 { return max(workspace.Share, DefaultWorkspaceShare) }
 
-// Text returns the merged configuration as indented JSON with the field names of the schema. Merging the text again
+// FormatJSON returns the merged configuration as indented JSON with the field names of the schema. Merging the text again
 // yields the same configuration.
-func Text(folder *pb.FolderFile) ([]byte, error) {
+func FormatJSON(folder *pb.FolderFile) ([]byte, error) {
 	compact, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(folder)
 	if err != nil {
 		return nil, fmt.Errorf("print configuration: %w", err)
