--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -119,7 +119,7 @@
 	return t
 }
 
-// Run follows the list and the notices until ctx ends.
+// Run reads the list and the notices and updates the router until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { t.followNotices(ctx) })
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -19,7 +19,7 @@
 // lengthPrefixSize is the size, in bytes, of the big-endian length prefix of each message.
 const lengthPrefixSize = 4
 
-// kindUnknown is the kind under which messages are counted whose kind this release does not know.
+// kindUnknown is the kind of messages whose body this release does not know.
 const kindUnknown = "unknown"
 
 // Errors of the codec.
--- a/pkg/configstore/store.go
+++ b/pkg/configstore/store.go
@@ -39,7 +39,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Table and key of the row that states the accepted version.
+// Table and key of the row that holds the accepted version.
 const (
 	TableName = "config"
 	RowKey    = "current"
--- a/pkg/configstore/store_test.go
+++ b/pkg/configstore/store_test.go
@@ -50,11 +50,11 @@
 	recovered atomic.Bool
 }
 
-func (o *staleTable) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	if o.recovered.Load() {
-		return o.Table.Get(ctx, table, key)
+func (s *staleTable) Get(ctx context.Context, table, key string) (platform.Row, error) {
+	if s.recovered.Load() {
+		return s.Table.Get(ctx, table, key)
 	}
-	return o.row, o.err
+	return s.row, s.err
 }
 
 // Guards against a node with stale reads of the folder and the row that replaces a newer configuration.
@@ -146,12 +146,12 @@
 	beforeFirstCommit func()
 }
 
-func (i *hookedTable) Commit(ctx context.Context, mutations []platform.Mutation) ([]uint64, error) {
-	if hook := i.beforeFirstCommit; hook != nil {
-		i.beforeFirstCommit = nil
+func (h *hookedTable) Commit(ctx context.Context, mutations []platform.Mutation) ([]uint64, error) {
+	if hook := h.beforeFirstCommit; hook != nil {
+		h.beforeFirstCommit = nil
 		hook()
 	}
-	return i.Table.Commit(ctx, mutations)
+	return h.Table.Commit(ctx, mutations)
 }
 
 // Guards against an edit that waits for the next folder read because another node, which had read the folder before the
@@ -257,14 +257,14 @@
 // fixedPeer is a peer that always replies with the same state.
 type fixedPeer struct{ state *pb.ConfigState }
 
-func (l fixedPeer) Sample(int) []string { return []string{"liar"} }
+func (p fixedPeer) Sample(int) []string { return []string{"liar"} }
 
-func (l fixedPeer) FetchConfig(context.Context, string, *pb.ConfigFetch) (*pb.ConfigState, error) {
-	return l.state, nil
+func (p fixedPeer) FetchConfig(context.Context, string, *pb.ConfigFetch) (*pb.ConfigState, error) {
+	return p.state, nil
 }
 
 // Guards against a reported version whose snapshot is missing, corrupted or of another revision.
-func TestPeerClaimIsVerified(t *testing.T) {
+func TestPeerReplyIsVerified(t *testing.T) {
 	data, digest, err := config.Encode(&pb.Snapshot{Merged: &pb.FolderFile{}, FolderRevision: 2})
 	assert.NilError(t, err)
 	good := &pb.ConfigState{Version: 7, FolderRevision: 2, Digest: digest, Snapshot: data}
