--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -45,7 +45,7 @@
 	idleTimeout = 30 * time.Second
 	// handshakeTimeout is short because the latency between regions is at most a few hundred milliseconds.
 	handshakeTimeout = 2 * time.Second
-	// receiveTimeout bounds how long a peer may take to send one message.
+	// receiveTimeout bounds how long a peer may take to send one message, or to receive a reply.
 	receiveTimeout = 10 * time.Second
 
 	// maxIncoming bounds the connections from peers; the target deployment has 400 nodes.
--- a/pkg/configstore/store.go
+++ b/pkg/configstore/store.go
@@ -47,7 +47,7 @@
 
 // Peers are the other entry nodes.
 type Peers interface {
-	// Sample returns up to n live nodes, chosen at random, without this node.
+	// Sample returns up to n randomly chosen live nodes, excluding this node.
 	Sample(n int) []string
 	// FetchConfig queries one node for its configuration. The caller validates the reply.
 	FetchConfig(ctx context.Context, node string, fetch *pb.ConfigFetch) (*pb.ConfigState, error)
@@ -177,7 +177,7 @@
 	attempts int
 }
 
-// New returns a store without a version in force.
+// New returns a store that has no version in force yet.
 func New(o Options) *Store {
 	if o.Now == nil {
 		o.Now = time.Now
