--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -61,7 +61,7 @@
 		cluster:         n.cluster,
 		instance:        func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
 		hasOpenRequests: func() bool { return n.openRequests.Load() > 0 },
-		renewServers:    func() { n.tracker.Renew() },
+		renewServers:    func() { n.tracker.RequestUpdate() },
 		workerStates:    map[string]*pb.WorkerState{},
 		polledLoads:     map[string]servers.Load{},
 		lastCacheEvent:  map[string]uint64{},
