--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -48,11 +48,12 @@
 	MessageOverhead = 150
 	// budgetBurst is the number of seconds of budget that may be spent at once.
 	budgetBurst = 2
-	// urgentReserve is the part of the burst, in bytes, that only urgent items may use.
+	// urgentReserve is the part of the burst, in bytes, that only urgent items and the requests of pulls for them may
+	// use.
 	urgentReserve = 2000
 	// borrowFloor is the fill level, as a part of the burst, down to which load reports may use the budget.
 	borrowFloor = 0.6
-	// repairShare divides the budget: 1/repairShare of it is reserved for digests and their answers, so that a burst
+	// repairShare divides the budget: 1/repairShare of it is reserved for digests and their replies, so that a burst
 	// of urgent items cannot keep a node from catching up.
 	repairShare = 4
 
@@ -60,7 +61,7 @@
 	DefaultFanout = 3
 	// originFanout is the number of peers to which the writer of an urgent item pushes it. No other node has the item
 	// yet, so no push is a duplicate, and in a small deployment every node gets it directly.
-	originFanout = ownRegionView
+	originFanout = localRegionView
 	// batchForwards is the number of times that a node forwards an item that is not urgent.
 	batchForwards = 3
 	// batchPeriod is the time between two batches.
@@ -78,8 +79,8 @@
 	catchUpPeriod = 500 * time.Millisecond
 	// viewPeriod is the time between two changes of the view.
 	viewPeriod = 20 * time.Second
-	// ownRegionView and otherRegionView are the numbers of peers in the view from the local region and from others.
-	ownRegionView   = 8
+	// localRegionView and otherRegionView are the numbers of peers in the view from the local region and from others.
+	localRegionView = 8
 	otherRegionView = 2
 
 	// maxMessage bounds the items of one message in bytes, so that the message fits into one packet. A larger item
@@ -123,7 +124,8 @@
 type Stats struct {
 	// Messages and Bytes count what was sent, MessageOverhead included.
 	Messages, Bytes uint64
-	// Received counts received items, Duplicates those offered to the core that were not newer than the known ones.
+	// Received counts received items. Duplicates counts received or written items that were not stored because they
+	// were not newer than the known ones, or because the node keeps too many items already.
 	Received, Duplicates uint64
 	// Deferred counts messages that were held back because the budget was spent.
 	Deferred uint64
@@ -156,7 +158,7 @@
 	urgent, batch []string
 	// nextUrgent is a lower bound of the due times of the urgent rumors.
 	nextUrgent time.Time
-	// tokens is the number of bytes that may be sent now, repairTokens those reserved for digests and their answers.
+	// tokens is the number of bytes that may be sent now, repairTokens those reserved for digests and their replies.
 	tokens, repairTokens float64
 	refilled             time.Time
 	nextView, nextBatch, nextRecent,
@@ -223,7 +225,7 @@
 }
 
 // Put adds an item with a version chosen by the caller and reports whether it was stored: it must be newer than the
-// known one and within the size limits.
+// known one, and within the limits on the size and the number of items.
 func (c *Core) Put(now time.Time, item *pb.GossipItem) bool {
 	c.mu.Lock()
 	added := c.accept(now, item, "")
@@ -300,7 +302,7 @@
 }
 
 // accept stores an item if it is newer than the known one, and schedules its pushes. The sender from is empty for an
-// item written by this node. The caller holds c.mu.
+// item that this node wrote or marked urgent. The caller holds c.mu.
 func (c *Core) accept(now time.Time, item *pb.GossipItem, from string) bool {
 	if item.Key == "" || len(item.Key) > maxKey || len(item.Value) > maxValue {
 		return false
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -82,9 +82,9 @@
 	c := newCluster(400, 1, nil)
 	c.net.Run(5 * time.Second)
 	for i := range 10 {
-		took, ok := c.timeToSpread(i*37, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
+		elapsed, ok := c.timeToSpread(i*37, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
 		assert.Assert(t, ok, "run %d", i)
-		t.Logf("known by all after %v", took)
+		t.Logf("known by all after %v", elapsed)
 		c.net.Run(time.Second)
 	}
 }
@@ -124,13 +124,13 @@
 		for i := range repeats {
 			key := fmt.Sprintf("member/x%d", i)
 			from := i * 37 % nodes
-			took, ok := c.timeToSpread(from, key, 0.99, 2*time.Second)
-			most = append(most, took)
+			elapsed, ok := c.timeToSpread(from, key, 0.99, 2*time.Second)
+			most = append(most, elapsed)
 			start := c.net.Now()
-			for c.countWith(key, 1) < nodes && c.net.Now().Sub(start) < 2*time.Second-took {
+			for c.countWith(key, 1) < nodes && c.net.Now().Sub(start) < 2*time.Second-elapsed {
 				c.net.Run(10 * time.Millisecond)
 			}
-			all = append(all, took+c.net.Now().Sub(start))
+			all = append(all, elapsed+c.net.Now().Sub(start))
 			reached += c.countWith(key, 1)
 			if c.countWith(key, 1) < nodes || !ok {
 				missed++
@@ -145,8 +145,8 @@
 	}
 }
 
-// storm calls write for each node once per second, and fails the test if a node sends more than its budget.
-func (c *cluster) storm(t *testing.T, seconds int, write func(core *gossip.Core, node, second int)) {
+// writeBurst calls write for each node once per second, and fails the test if a node sends more than its budget.
+func (c *cluster) writeBurst(t *testing.T, seconds int, write func(core *gossip.Core, node, second int)) {
 	t.Helper()
 	before := map[string]uint64{}
 	for _, p := range c.peers {
@@ -165,7 +165,7 @@
 }
 
 // Guards against a burst of ordinary writes that exceeds the budget or delays urgent items.
-func TestStormDoesNotDelayUrgentItems(t *testing.T) {
+func TestBurstDoesNotDelayUrgentItems(t *testing.T) {
 	c := newCluster(60, 3, nil)
 	c.net.Run(5 * time.Second)
 	load := func(core *gossip.Core, node, _ int) {
@@ -173,22 +173,22 @@
 			core.Set(c.net.Now(), fmt.Sprintf("load/%d/%d", node, j), make([]byte, 100), 20*time.Second, false)
 		}
 	}
-	c.storm(t, 30, load)
+	c.writeBurst(t, 30, load)
 	for i := range 5 {
 		load(c.cores[i], i, 0)
-		took, ok := c.timeToSpread(i, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
-		assert.Assert(t, ok, "urgent item %d took more than %v", i, took)
+		elapsed, ok := c.timeToSpread(i, fmt.Sprintf("member/x%d", i), 1, 2*time.Second)
+		assert.Assert(t, ok, "urgent item %d took more than %v", i, elapsed)
 	}
 }
 
 // Guards against a burst of urgent items, three times as large as the budget allows, that exceeds the budget or leaves
 // nodes without some of the items after it.
-func TestUrgentStormIsRepaired(t *testing.T) {
+func TestUrgentBurstIsRepaired(t *testing.T) {
 	c := newCluster(60, 3, nil)
 	c.net.Run(5 * time.Second)
 	// 30 items of 85 bytes per second, each pushed three times, make 7.6 KB/s.
 	const writers = 30
-	c.storm(t, 10, func(core *gossip.Core, node, second int) {
+	c.writeBurst(t, 10, func(core *gossip.Core, node, second int) {
 		if node < writers {
 			core.Set(c.net.Now(), fmt.Sprintf("strike/%d/%d", node, second), make([]byte, 50), time.Hour, true)
 		}
--- a/pkg/gossip/spread.go
+++ b/pkg/gossip/spread.go
@@ -60,11 +60,11 @@
 		c.refill(now)
 		switch {
 		case len(body.GossipDigest.Buckets) > 0:
-			return c.answerDigest(now, from, body.GossipDigest.Buckets)
+			return c.replyToDigest(now, from, body.GossipDigest.Buckets)
 		case len(body.GossipDigest.Listed) > 0:
-			return c.answerList(now, from, body.GossipDigest)
+			return c.replyToList(now, from, body.GossipDigest)
 		}
-		return c.answerRecent(now, from, body.GossipDigest.Versions)
+		return c.replyToRecent(now, from, body.GossipDigest.Versions)
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 			c.demoteToBatch(r)
 		}
 	}
-	out := c.answerWant(now, from, push.Want)
+	out := c.replyToWant(now, from, push.Want)
 	out = append(out, c.pushUrgent(now)...)
 	watches := c.watches
 	c.mu.Unlock()
@@ -348,8 +348,8 @@
 	return []Message{{p, env}}
 }
 
-// answerRecent sends the recent urgent items that the peer did not list.
-func (c *Core) answerRecent(now time.Time, from string, versions []uint32) []Message {
+// replyToRecent sends the recent urgent items that the peer did not list.
+func (c *Core) replyToRecent(now time.Time, from string, versions []uint32) []Message {
 	missing := c.recentUrgent(now)
 	for _, version := range versions {
 		delete(missing, version)
@@ -367,9 +367,9 @@
 	return c.sendRepair(p, env)
 }
 
-// answerDigest lists the versions in the buckets that differ, up to maxListed. It starts from a random bucket, so that
+// replyToDigest lists the versions in the buckets that differ, up to maxListed. It starts from a random bucket, so that
 // a node that has just started gets different parts from several peers.
-func (c *Core) answerDigest(now time.Time, from string, theirs []uint64) []Message {
+func (c *Core) replyToDigest(now time.Time, from string, theirs []uint64) []Message {
 	if len(theirs) != bucketCount {
 		return nil
 	}
@@ -409,8 +409,8 @@
 	return a
 }
 
-// answerList sends the items of the listed buckets that the peer lacks, and requests those missing here.
-func (c *Core) answerList(now time.Time, from string, digest *pb.GossipDigest) []Message {
+// replyToList sends the items of the listed buckets that the peer lacks, and requests those missing here.
+func (c *Core) replyToList(now time.Time, from string, digest *pb.GossipDigest) []Message {
 	peerHas := make(map[uint32]bool, len(digest.Versions))
 	for _, version := range digest.Versions {
 		peerHas[version] = true
@@ -435,8 +435,8 @@
 	return append(out, c.sendEntries(now, from, peerLacks, true)...)
 }
 
-// answerWant sends the items that a peer requested by version.
-func (c *Core) answerWant(now time.Time, from string, versions []uint32) []Message {
+// replyToWant sends the items that a peer requested by version.
+func (c *Core) replyToWant(now time.Time, from string, versions []uint32) []Message {
 	if len(versions) == 0 {
 		return nil
 	}
--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -20,21 +20,22 @@
 	return chosen
 }
 
-// fillView adds random peers until the view has ownRegionView peers of the local region and otherRegionView of others.
+// fillView adds random peers until the view has localRegionView peers of the local region and otherRegionView of other
+// regions.
 func (c *Core) fillView() {
 	for _, part := range []struct {
-		ownRegion bool
-		size      int
-	}{{true, ownRegionView}, {false, otherRegionView}} {
+		localRegion bool
+		size        int
+	}{{true, localRegionView}, {false, otherRegionView}} {
 		count := 0
 		for _, p := range c.view {
-			if (p.Region == c.cfg.Region) == part.ownRegion {
+			if (p.Region == c.cfg.Region) == part.localRegion {
 				count++
 			}
 		}
 		var candidates []Peer
 		for _, p := range c.peers {
-			if (p.Region == c.cfg.Region) == part.ownRegion {
+			if (p.Region == c.cfg.Region) == part.localRegion {
 				candidates = append(candidates, p)
 			}
 		}
