--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -3,7 +3,7 @@
 //
 // Each node probes one peer of its region per second: mostly one of the gossip view, whose connections are open, and
 // sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober asks two
-// peers in other failure domains to probe the target (indirect probes). Only when one of them answers that it cannot
+// peers in other failure domains to probe the target (indirect probes). Only when one of them replies that it cannot
 // reach the target either is the target suspected, so that a fault of the prober's own links or failure domain does
 // not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
 // above the known one. A live node refutes it with a higher incarnation. Without a refutation every node considers it
@@ -49,8 +49,8 @@
 	indirectTimeout       = 800 * time.Millisecond
 	// indirectProbers is the number of peers asked for an indirect probe after a probe timed out.
 	indirectProbers = 2
-	// anyNodeEvery is the average number of probes of which one goes to any node instead of one of the gossip view;
-	// such a probe costs a handshake.
+	// anyNodeEvery sets the share of probes that go to any node instead of one of the gossip view: on average one in
+	// anyNodeEvery. Such a probe costs a handshake.
 	anyNodeEvery = 20
 	// domainSuspicionTime is the time after a suspicion during which half of the probes go to nodes of the same failure
 	// domain, so that the loss of a domain is detected before each of its nodes happens to be in some node's view.
@@ -345,7 +345,8 @@
 	return gossip.Peer{Node: m.Node, Region: m.Region, FailureDomain: m.FailureDomain, Addr: m.NodeAddr}
 }
 
-// statusOf returns a node's status: what the node announced itself, unless it is dead, suspected or listed as leaving.
+// statusOf returns a node's status: the one that the node announced itself, unless it is dead, suspected, in an
+// unreachable region or listed as leaving.
 func (c *Core) statusOf(r *record) pb.MemberState_Status {
 	switch {
 	case r.dead:
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -155,8 +155,8 @@
 	for i := range 5 {
 		node := fmt.Sprintf("n%03d", i*71)
 		c.cores[node].Leave()
-		took := c.waitUntil(2*time.Second, "leave known by all", func() bool { return c.count(node, leaving) == 400 })
-		t.Logf("leave known by all 400 after %v", took)
+		elapsed := c.waitUntil(2*time.Second, "leave known by all", func() bool { return c.count(node, leaving) == 400 })
+		t.Logf("leave known by all 400 after %v", elapsed)
 	}
 }
 
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -27,23 +27,23 @@
 
 // pickTarget returns a node to probe in the local region or in another one, or an empty name, and whether it was picked
 // because of a suspicion in its failure domain.
-func (c *Core) pickTarget(now time.Time, ownRegion bool) (target string, domainSuspected bool) {
-	if ownRegion && c.cfg.Rand.IntN(2) == 0 {
+func (c *Core) pickTarget(now time.Time, localRegion bool) (target string, domainSuspected bool) {
+	if localRegion && c.cfg.Rand.IntN(2) == 0 {
 		if candidates := c.nodesInSuspectedDomains(now); len(candidates) > 0 {
 			return candidates[c.cfg.Rand.IntN(len(candidates))], true
 		}
 	}
 	var candidates []string
-	if c.cfg.Rand.IntN(anyNodeEvery) > 0 && (ownRegion || !c.regionProbeFailed) {
+	if c.cfg.Rand.IntN(anyNodeEvery) > 0 && (localRegion || !c.regionProbeFailed) {
 		for _, p := range c.g.View() {
-			if c.probeable(c.records[p.Node], ownRegion) {
+			if c.probeable(c.records[p.Node], localRegion) {
 				candidates = append(candidates, p.Node)
 			}
 		}
 	}
 	if len(candidates) == 0 {
 		for _, node := range slices.Sorted(maps.Keys(c.records)) {
-			if c.probeable(c.records[node], ownRegion) {
+			if c.probeable(c.records[node], localRegion) {
 				candidates = append(candidates, node)
 			}
 		}
@@ -71,14 +71,14 @@
 }
 
 // probeable reports whether a node may be probed. Suspected nodes are not: only a refutation can clear them.
-func (c *Core) probeable(r *record, ownRegion bool) bool {
+func (c *Core) probeable(r *record, localRegion bool) bool {
 	if r == nil || r.dead || r.NodeAddr == "" || r.Status == pb.MemberState_LEFT || !r.suspectedAt.IsZero() {
 		return false
 	}
-	return (r.Region == c.cfg.Region) == ownRegion
+	return (r.Region == c.cfg.Region) == localRegion
 }
 
-// probe sends one probe and tracks it until its answer or timeout.
+// probe sends one probe and tracks it until its reply or timeout.
 func (c *Core) probe(now time.Time, target string, p probe) []gossip.Message {
 	r := c.records[target]
 	if r == nil || r.NodeAddr == "" {
@@ -94,7 +94,7 @@
 		Env: &pb.Envelope{Body: &pb.Envelope_Probe{Probe: &pb.Probe{Number: c.nextNumber}}}}}
 }
 
-// sendAck sends a ProbeAck to a node; reached tells whether the probed node answered.
+// sendAck sends a ProbeAck to a node; reached reports whether the probed node replied.
 func (c *Core) sendAck(to string, number uint64, reached bool) []gossip.Message {
 	r := c.records[to]
 	if r == nil || r.NodeAddr == "" {
@@ -112,7 +112,7 @@
 	return c.probe(now, request.Target, probe{requester: from, requestNumber: request.Number})
 }
 
-// handleAck handles an answer of the target itself or of a peer that was asked for an indirect probe.
+// handleAck handles a reply of the target itself or of a peer that was asked for an indirect probe.
 func (c *Core) handleAck(now time.Time, from string, ack *pb.ProbeAck) []gossip.Message {
 	p := c.probes[ack.Number]
 	if p == nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-// handleTimeouts handles the probes that have had no answer in time.
+// handleTimeouts handles the probes that have had no reply in time.
 func (c *Core) handleTimeouts(now time.Time) []gossip.Message {
 	var out []gossip.Message
 	for _, number := range slices.Sorted(maps.Keys(c.probes)) {
@@ -162,7 +162,7 @@
 				out = append(out, c.handleProbeTimeout(now, number, p)...)
 			}
 		case now.Sub(p.indirectSent) >= indirectTimeout:
-			// No peer answered the request for an indirect probe. The fault may be on this side, so the target is not
+			// No peer replied to a request for an indirect probe. The fault may be on this side, so the target is not
 			// suspected.
 			delete(c.probes, number)
 		}
@@ -170,7 +170,8 @@
 	return out
 }
 
-// handleProbeTimeout handles a direct probe that timed out. For a target in the local region it requests indirect probes.
+// handleProbeTimeout handles a direct probe that timed out. For a target in the local region it requests indirect
+// probes, unless this node suspects itself.
 func (c *Core) handleProbeTimeout(now time.Time, number uint64, p *probe) []gossip.Message {
 	r := c.records[p.target]
 	if r != nil && r.Region != c.cfg.Region {
@@ -196,20 +197,20 @@
 // and if possible different from each other. Where the whole region is one failure domain, as on a developer's machine,
 // it picks peers of this node's domain.
 func (c *Core) pickIndirectProbers(target string) []Member {
-	var candidates, ownDomain []Member
+	var candidates, localDomain []Member
 	for _, node := range slices.Sorted(maps.Keys(c.records)) {
 		r := c.records[node]
 		if node == target || !c.probeable(r, true) {
 			continue
 		}
 		if r.FailureDomain == c.cfg.FailureDomain {
-			ownDomain = append(ownDomain, r.Member)
+			localDomain = append(localDomain, r.Member)
 			continue
 		}
 		candidates = append(candidates, r.Member)
 	}
 	if len(candidates) == 0 {
-		candidates = ownDomain
+		candidates = localDomain
 	}
 	c.cfg.Rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	var out []Member
