--- a/pkg/loadview/loadview_test.go
+++ b/pkg/loadview/loadview_test.go
@@ -138,7 +138,7 @@
 	return e.g.Handle(now, from, env)
 }
 
-// quantizedRunning returns the quantized number of running requests, like the package.
+// quantizedRunning returns the number of running requests as the package quantizes it.
 func quantizedRunning(running uint32) uint32 {
 	last := uint32(0)
 	for n := uint32(1); n <= running; {
@@ -307,7 +307,7 @@
 		// The period differs from that of the polls, so that samples are taken at varying times after a poll.
 		c.net.Run(970 * time.Millisecond)
 		cpu += time.Since(start)
-		for i := 0; i < len(c.peers); i += max(1, len(c.peers)/40) { // 40 nodes or a little more
+		for i := 0; i < len(c.peers); i += max(1, len(c.peers)/40) { // at most 79 nodes, evenly spaced
 			for _, w := range c.workers {
 				s, known := c.staleness(c.peers[i].Node, w.Name)
 				if !known {
@@ -391,10 +391,10 @@
 	c.net.Run(15 * time.Second)
 	for range 4 { // of the five nodes of the domain
 		observers := loadview.Observers("r0-d0", c.members.live)
-		gone := membership.Rendezvous("relay/r0-d0", observers, 1)[0].Node
-		c.net.Stop(gone)
-		c.members.live = slices.DeleteFunc(slices.Clone(c.members.live), func(m membership.Member) bool { return m.Node == gone })
-		c.peers = slices.DeleteFunc(slices.Clone(c.peers), func(p gossip.Peer) bool { return p.Node == gone })
+		relay := membership.Rendezvous("relay/r0-d0", observers, 1)[0].Node
+		c.net.Stop(relay)
+		c.members.live = slices.DeleteFunc(slices.Clone(c.members.live), func(m membership.Member) bool { return m.Node == relay })
+		c.peers = slices.DeleteFunc(slices.Clone(c.peers), func(p gossip.Peer) bool { return p.Node == relay })
 		for _, p := range c.peers {
 			c.byNode[p.Node].(*relayNode).peers.SetPeers(c.peers)
 		}
@@ -405,13 +405,13 @@
 			}
 			for _, w := range c.workers {
 				s, known := c.staleness(p.Node, w.Name)
-				assert.Assert(t, known && s < 10*time.Second, "%s: load of %s is false for %v", p.Node, w.Name, s)
+				assert.Assert(t, known && s < 10*time.Second, "%s: load of %s has been wrong for %v", p.Node, w.Name, s)
 			}
 		}
 	}
 }
 
-// Guards against malformed messages from a peer that make the core panic or answer.
+// Guards against malformed messages from a peer that make the core panic or reply.
 func TestMalformedMessagesAreIgnored(t *testing.T) {
 	c := newCluster(10, 20, 4, "relay")
 	for _, d := range []*pb.DomainLoad{nil, {}, {Version: &pb.LoadVersion{Term: 1, Sequence: 1}, Workers: []uint32{1}},
--- a/pkg/loadview/spread.go
+++ b/pkg/loadview/spread.go
@@ -44,7 +44,7 @@
 	switch body := env.Body.(type) {
 	case *pb.Envelope_LoadDigest:
 		c.refill(now)
-		return c.answer(now, from, body.LoadDigest)
+		return c.reply(now, from, body.LoadDigest)
 	case *pb.Envelope_LoadDelta:
 		for _, d := range body.LoadDelta.Domains {
 			c.apply(now, d)
@@ -231,8 +231,8 @@
 	return []gossip.Message{{To: p, Env: env}}
 }
 
-// answer sends the changes that the peer lacks, as far as they fit into one message.
-func (c *Core) answer(now time.Time, from string, digest *pb.LoadDigest) []gossip.Message {
+// reply sends the changes that the peer lacks, as far as they fit into one message.
+func (c *Core) reply(now time.Time, from string, digest *pb.LoadDigest) []gossip.Message {
 	return c.send(from, c.delta(now, digest.Versions, slices.Sorted(maps.Keys(c.domains))...))
 }
 
@@ -261,7 +261,7 @@
 		if d.term == 0 || after > d.sequence || remaining <= 0 {
 			continue
 		}
-		// An answer without changes still confirms the age of the version.
+		// A reply without changes still confirms the age of the version.
 		m := d.changesSince(now, id, after, remaining)
 		remaining -= len(m.Workers) + 2
 		out.Domains = append(out.Domains, m)
@@ -298,7 +298,7 @@
 		len(d.Ages) == len(d.Workers)
 }
 
-// apply applies a report of an observer, which has no term, or a delta of a peer.
+// apply processes a report of an observer, which has no term, or a delta of a peer.
 func (c *Core) apply(now time.Time, m *pb.DomainLoad) {
 	if !wellFormed(m) {
 		return
