--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -43,13 +43,14 @@
 	queue        events
 	lastSequence uint64
 	nodes        map[string]Endpoint
-	generation   map[string]int // counts starts and stops of a node; ticks scheduled before the last one are dropped
-	traffic      map[string]*Traffic
+	// generation counts the starts and stops of a node, so that ticks scheduled before the latest of them are dropped.
+	generation map[string]int
+	traffic    map[string]*Traffic
 }
 
 type event struct {
 	at       time.Time
-	sequence uint64
+	sequence uint64 // order of events at the same time
 	run      func()
 }
 
@@ -84,7 +85,7 @@
 // Now returns the virtual time.
 func (n *Net) Now() time.Time { return n.now }
 
-// At schedules f to run after the given virtual time.
+// At schedules f to run once the given virtual time has passed.
 func (n *Net) At(after time.Duration, f func()) {
 	n.lastSequence++
 	heap.Push(&n.queue, event{n.now.Add(after), n.lastSequence, f})
