--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -37,11 +37,11 @@
 // Server describes one backend server.
 type Server struct {
 	ID, Addr, Group, Region, FailureDomain string
-	// Models and Adapters lists those that are resident: a request for them loads no weights.
+	// Models and Adapters list those that are resident: a request for them loads no weights.
 	Models, Adapters   []string
 	PricePerHourMicros uint64
 	Reclaimable        bool
-	// Leaving servers get no new work. Suspect servers get work only when no other server is left.
+	// Leaving servers get no new work. Suspect servers get work only when no other server with the model is left.
 	Leaving, Suspect bool
 	Load             backend.Load
 	// LoadAt is the time at which the server made the load report, on this node's clock. Zero means no report.
@@ -53,7 +53,7 @@
 // Options configures a Router. Zero values give the defaults.
 type Options struct {
 	Policy Policy
-	// RecomputeWeight is the weight of recomputed tokens relative to price, 0 to 100.
+	// RecomputeWeight is the weight of recomputed tokens relative to price, 0 to 100. Even at 0 they have some weight.
 	RecomputeWeight uint32
 	// FirstTokenTarget and BetweenTokensTarget are the latency targets, as 95th percentiles.
 	FirstTokenTarget, BetweenTokensTarget time.Duration
@@ -160,7 +160,7 @@
 	Server *Server
 	// ExpectedFirstToken is the estimate the choice was based on.
 	ExpectedFirstToken time.Duration
-	// ExpectedCached is the number of prompt tokens that the prefix index says are cached.
+	// ExpectedCached is the expected number of cached prompt tokens, from the prefix index or the home ring.
 	ExpectedCached uint32
 	// Alone is set for an isolated request when the server ran nothing else as far as is known.
 	Alone bool
--- a/pkg/route/router.go
+++ b/pkg/route/router.go
@@ -171,7 +171,7 @@
 // reclaimedShareByDomain returns, by failure domain, the share of the reclaimable servers that are leaving or suspect.
 // A high share shows that the domain is being reclaimed before each of its servers has announced it.
 func reclaimedShareByDomain(servers []Server) map[string]float64 {
-	total, gone := make(map[string]float64), make(map[string]float64)
+	total, reclaimed := make(map[string]float64), make(map[string]float64)
 	for i := range servers {
 		srv := &servers[i]
 		if !srv.Reclaimable {
@@ -179,11 +179,11 @@
 		}
 		total[srv.FailureDomain]++
 		if srv.Leaving || srv.Suspect {
-			gone[srv.FailureDomain]++
+			reclaimed[srv.FailureDomain]++
 		}
 	}
 	for domain := range total {
-		total[domain] = gone[domain] / total[domain]
+		total[domain] = reclaimed[domain] / total[domain]
 	}
 	return total
 }
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -9,15 +9,16 @@
 // Weights of the score. Latencies enter it relative to their targets. TestPolicyGoals of sim_test.go guards the
 // result of these weights.
 const (
-	// headroom is the share of the target above which the latency term rises steeply. It is below 1 because estimates
-	// are means and the target is a 95th percentile.
-	headroom        = 0.7
+	// steepThreshold is the share of the target above which the latency term rises steeply. It is below 1 because
+	// estimates are means and the target is a 95th percentile.
+	steepThreshold  = 0.7
 	flatSlope       = 0.1 // slope of the latency term, per share of the target
-	steepSlope      = 8.0 // additional slope between headroom and the target
+	steepSlope      = 8.0 // additional slope between steepThreshold and the target
 	overTargetSlope = 2.0 // factor on the logarithm above the target
 	costWeight      = 0.6
 	busyPriceFactor = 0.6 // factor on the price of a server that already runs requests, so that idle servers stay idle
-	// recomputeUnit is the number of tokens whose repeated prefill weighs as much as the whole price term.
+	// recomputeUnit is the number of tokens whose recomputation adds the weight of recomputed tokens to the score: from
+	// minRecomputeWeight, at a configured weight of 0, to minRecomputeWeight+1 at 100.
 	recomputeUnit      = 2048.0
 	minRecomputeWeight = 2.0 // weight of recomputed tokens at a configured weight of 0
 	// baseLossProbability is the assumed probability that a reclaimable server is lost during a request while no
@@ -300,11 +301,11 @@
 	return max(0, loadFloat(&st.step)+added*loadFloat(&st.growth))
 }
 
-// latencyPenalty returns the latency term for a latency as a share of its target. It is nearly flat up to the headroom
-// and steep above it. Above the target it grows only logarithmically: when every server is over the target, a cached
-// prefix must still decide, because recomputing it adds to the overload.
+// latencyPenalty returns the latency term for a latency as a share of its target. It is nearly flat up to
+// steepThreshold and steep above it. Above the target it grows only logarithmically: when every server is over the
+// target, a cached prefix must still decide, because recomputing it adds to the overload.
 func latencyPenalty(share float64) float64 {
-	over := math.Max(0, math.Min(share, 1)-headroom)
+	over := math.Max(0, math.Min(share, 1)-steepThreshold)
 	v := flatSlope*share + steepSlope*over
 	if share > 1 {
 		v += overTargetSlope * math.Log(share)
