--- a/pkg/route/sim_test.go
+++ b/pkg/route/sim_test.go
@@ -14,7 +14,8 @@
 )
 
 // The simulation has only servers and routers, in virtual time: 40 servers with continuous batching and an LRU prefix
-// cache, 8 routers that get a load report of each server every 500 ms, and Poisson arrivals.
+// cache, 8 routers that get a load report of each server every 500 ms, so that they choose by loads up to 500 ms old,
+// and Poisson arrivals.
 const (
 	simSlots        = 32      // requests in a server's batch
 	simPrefillRate  = 16000.0 // tokens/s
@@ -122,7 +123,7 @@
 
 type simResult struct {
 	p95          float64 // first token, seconds
-	pricePerMega float64 // paid server time per million generated tokens within the target
+	pricePerMega float64 // price of the paid server time per million generated tokens within the target
 	recomputed   float64 // million prefix tokens that were recomputed: some server had prefilled them before
 	prefilled    float64 // million tokens
 	fleetPrice   float64 // whole fleet's price per million generated tokens
