--- a/pkg/membership/runner_test.go
+++ b/pkg/membership/runner_test.go
@@ -100,7 +100,7 @@
 
 func pollWorker(_ context.Context, worker string) (*pb.WorkerLoad, error) {
 	if worker == "broken" {
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	return &pb.WorkerLoad{Server: worker, Running: 13}, nil
 }
