--- a/internal/edge/configview.go
+++ b/internal/edge/configview.go
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// Raw returns the encoded configuration as read from the store, for other nodes.
+// Raw returns the configuration as encoded in the store, for other nodes.
 func (v *configView) Raw() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -86,7 +86,7 @@
 }
 
 // fetch reads a view in the background. The number of concurrent fetches is limited because all peers report a change
-// at nearly the same time, and on a slow link transferring a whole view takes a large part of a second.
+// at nearly the same time, and on a slow link transferring a whole view takes a large fraction of a second.
 func (f *fetcher) fetch(addr, path string, apply func([]byte) error) {
 	view, _, _ := strings.Cut(path, "?")
 	key := view + " " + addr
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -22,8 +22,8 @@
 	TTL       float64  `json:"ttl_s"`
 }
 
-// callerAddresses returns the addresses of the serving nodes: those of live peers that are ready and not leaving, and
-// this node's own. A node without live peers lists only itself.
+// callerAddresses returns the addresses of the serving nodes: this node's own if it serves, and those of live peers
+// that are ready and not leaving. A node without live peers lists only itself.
 func callerAddresses(self string, selfServes bool, alive []*pb.PeerBeat) []string {
 	var out []string
 	if selfServes {
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -38,7 +38,7 @@
 	n.stoppedAt.Store(&begin)
 	n.stopping.Store(true)
 	n.log.WithField("open", n.open.Load()).Info(logline.NodeDraining)
-	go n.peers.send(context.Background()) // takes a significant part of a second in a large deployment
+	go n.peers.send(context.Background()) // takes a fraction of a second in a large deployment
 	stopDuties()
 	ctx, cancel := context.WithDeadline(context.Background(), begin.Add(n.settings.Grace-exitMargin))
 	defer cancel()
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -19,8 +19,8 @@
 	dutyLeaseDuration = 1500 * time.Millisecond
 	// dutyCallTimeout limits one duty call.
 	dutyCallTimeout = 500 * time.Millisecond
-	// dutyHolderTimeout is how long the holder may be silent before other nodes try to acquire the lease. Trying is
-	// harmless while the holder is alive.
+	// dutyHolderTimeout is how long the holder may be unresponsive before other nodes try to acquire the lease. Trying
+	// is harmless while the holder is alive.
 	dutyHolderTimeout = 500 * time.Millisecond
 	// dutyStoreTimeout limits one store call for the lease; the store may be slow for some time.
 	dutyStoreTimeout = time.Second
@@ -44,9 +44,9 @@
 	// orderRepeatInterval is how often an unchanged order is sent again; the platform may have lost a server
 	// permanently.
 	orderRepeatInterval = 4 * time.Second
-	// minOrderInterval is the minimum time between two changed orders of the same kind in a failure domain.
+	// minOrderInterval is the minimum time between two orders of the same kind for a service and failure domain.
 	minOrderInterval = time.Second
-	// refusalTTL is how long a refused order of reclaimable servers affects the plan.
+	// refusalTTL is how long a refused order counts as a refusal of reclaimable servers in the plan.
 	refusalTTL = 2500 * time.Millisecond
 	// loadRiseHalfLife and loadFallHalfLife are the half-lives used to smooth the planned load. It falls slowly because
 	// new servers take seconds to boot and callers that arrive in bursts come back.
@@ -75,7 +75,7 @@
 func (n *Node) runDuties(ctx context.Context) {
 	leases := lease.New(lease.Options{Table: n.store, Node: n.settings.Node, Duration: dutyLeaseDuration,
 		MaxOrderTime: dutyCallTimeout, StoreTimeout: dutyStoreTimeout})
-	// An earlier process of this node may have made duty calls until just before this one started.
+	// An earlier incarnation of this node may have made duty calls until just before this one started.
 	lastActed := n.started
 	clock.Sleep(ctx, dutyStartDelay)
 	for ctx.Err() == nil {
@@ -184,7 +184,7 @@
 	h.deleteStaleRows(ctx, now)
 }
 
-// deleteStaleRows periodically deletes the rows of nodes that are gone and of old usage windows.
+// deleteStaleRows periodically deletes the rows of dead nodes and of old usage windows.
 func (h *dutyHolder) deleteStaleRows(ctx context.Context, now time.Time) {
 	if now.Sub(h.cleanedAt) < staleRowAge {
 		return
@@ -192,7 +192,7 @@
 	h.cleanedAt = now
 	for _, m := range h.n.peers.staleRows(now) {
 		if _, err := h.n.store.Commit(ctx, []platform.Mutation{m}); err != nil {
-			h.n.log.WithError(err).WithField("key", m.Key).Info("deleting row of a silent node failed")
+			h.n.log.WithError(err).WithField("key", m.Key).Info("deleting row of a dead node failed")
 		}
 	}
 	h.deleteOldUsage(ctx, now)
--- a/internal/edge/beats.go
+++ b/internal/edge/heartbeats.go
@@ -101,13 +101,13 @@
 
 const summaryInterval = 10 * time.Second
 
-// unseenInterval is how often the load sent by other nodes but not yet reported to this one is estimated.
-const unseenInterval = time.Second
+// unreportedInterval is how often the load sent by other nodes but not yet reported to this one is estimated.
+const unreportedInterval = time.Second
 
-// estimateUnseen updates the board's estimate of the requests that other nodes send to each server between two of their
-// heartbeats.
-func (n *Node) estimateUnseen(ctx context.Context) {
-	for clock.Sleep(ctx, unseenInterval) {
+// estimateUnreported updates the board's estimate of the requests that other nodes send to each server between two of
+// their heartbeats.
+func (n *Node) estimateUnreported(ctx context.Context) {
+	for clock.Sleep(ctx, unreportedInterval) {
 		now := time.Now()
 		requests := map[string]float64{}
 		for _, beat := range n.peers.alive(now) {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -136,7 +136,7 @@
 	}
 	var work sync.WaitGroup
 	for _, run := range []func(context.Context){n.config.watch, n.servers.watch, n.peers.run, n.peers.register,
-		n.crashes.run, n.callers.run, n.logSummaries, n.estimateUnseen} {
+		n.crashes.run, n.callers.run, n.logSummaries, n.estimateUnreported} {
 		work.Go(func() { run(background) })
 	}
 	dutiesCtx, stopDuties := context.WithCancel(background)
@@ -227,7 +227,7 @@
 	}
 }
 
-// configChanged applies a configuration to the quota limits before it is in force.
+// configChanged sets the quota limits of a configuration before it is in force.
 func (n *Node) configChanged(c *serving.Config) {
 	limits := make([]quota.Limit, 0, len(c.Workspaces))
 	for _, w := range c.Workspaces {
--- a/internal/edge/peerrows.go
+++ b/internal/edge/peerrows.go
@@ -13,7 +13,7 @@
 const (
 	// nodeTable is the table through which nodes discover each other.
 	nodeTable = "nodes"
-	// staleRowAge is how long a node must be silent before the duty holder deletes its row.
+	// staleRowAge is how long a node must be unresponsive before the duty holder deletes its row.
 	staleRowAge = 20 * time.Second
 )
 
@@ -84,17 +84,18 @@
 	}
 }
 
-// staleRows returns mutations that delete the rows of nodes silent for longer than staleRowAge, for the duty holder.
+// staleRows returns mutations that delete the rows of nodes unresponsive for longer than staleRowAge, for the duty
+// holder.
 func (p *peers) staleRows(now time.Time) []platform.Mutation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []platform.Mutation
 	for name, n := range p.nodes {
-		lastHeard := n.receivedAt
-		if lastHeard.IsZero() {
-			lastHeard = n.addedAt
+		lastReceived := n.receivedAt
+		if lastReceived.IsZero() {
+			lastReceived = n.addedAt
 		}
-		if n.rowVersion != 0 && now.Sub(lastHeard) > staleRowAge {
+		if n.rowVersion != 0 && now.Sub(lastReceived) > staleRowAge {
 			out = append(out, platform.Mutation{Table: nodeTable, Key: name, Delete: true,
 				If: platform.Condition{Kind: platform.VersionIs, Version: n.rowVersion}})
 		}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -22,10 +22,10 @@
 	// minHeartbeatInterval is the heartbeat interval of a node in a small deployment.
 	minHeartbeatInterval = 150 * time.Millisecond
 	// heartbeatIntervalPerNode makes the interval proportional to the number of nodes in a large deployment, which
-	// bounds the datagrams that a node sends per second.
+	// limits the datagrams that a node sends per second.
 	heartbeatIntervalPerNode = 8 * time.Millisecond
-	// aliveIntervals is how many heartbeat intervals a node may be silent before it is considered dead; minAliveTimeout
-	// is the minimum time.
+	// aliveIntervals is how many heartbeat intervals a node may be unresponsive before it is considered dead;
+	// minAliveTimeout is the minimum time.
 	aliveIntervals  = 5
 	minAliveTimeout = time.Second
 	// maxDatagram is the maximum size of a heartbeat datagram, below the 64 KiB limit of UDP.
@@ -55,7 +55,7 @@
 	// write sends one datagram.
 	write func(data []byte, to netip.AddrPort)
 	// compose builds this node's heartbeat. received is called with each heartbeat of another node, restarted when a
-	// node is found to have restarted, with the start time of its previous process.
+	// node is found to have restarted, with the start time of its previous incarnation.
 	compose func(now time.Time) *pb.PeerBeat
 	// composeUrgent builds the part of the heartbeat that cannot wait for the next regular one.
 	composeUrgent func(now time.Time) *pb.PeerBeat
@@ -114,7 +114,7 @@
 	}
 }
 
-// aliveTimeout is how long a node may be silent before it is considered dead. The caller holds mu.
+// aliveTimeout is how long a node may be unresponsive before it is considered dead. The caller holds mu.
 func (p *peers) aliveTimeout() time.Duration {
 	return max(minAliveTimeout, aliveIntervals*p.heartbeatIntervalLocked())
 }
@@ -208,7 +208,8 @@
 	}
 }
 
-// handleHeartbeat records a heartbeat and calls received with it, unless it is from an earlier process of its node.
+// handleHeartbeat records a heartbeat and calls received with it, unless it is from an earlier incarnation of its node
+// or is an urgent one that arrives before the first full one of its incarnation.
 func (p *peers) handleHeartbeat(beat *pb.PeerBeat, now time.Time) {
 	if beat.Node == p.self {
 		return
@@ -224,13 +225,13 @@
 		p.mu.Unlock()
 		return // the full heartbeat follows soon
 	}
-	// Heartbeats of the previous process may still arrive for a short time. After that, an earlier start time means
+	// Heartbeats of the previous incarnation may still arrive for a short time. After that, an earlier start time means
 	// that the node's clock was set back.
 	if previous != nil && beat.Started < previous.Started && now.Sub(n.receivedAt) < p.aliveTimeout() {
 		p.mu.Unlock()
 		return
 	}
-	isNew := previous == nil || now.Sub(n.receivedAt) > p.aliveTimeout() || previous.Started != beat.Started
+	appeared := previous == nil || now.Sub(n.receivedAt) > p.aliveTimeout() || previous.Started != beat.Started
 	n.receivedAt, n.addr = now, beat.PeerAddr
 	if !beat.NewsOnly {
 		n.lastHeartbeat = beat
@@ -245,14 +246,14 @@
 	if previous != nil && previous.Started != beat.Started {
 		p.restarted(beat.Node, previous.Started)
 	}
-	if isNew {
+	if appeared {
 		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeHeard)
 	}
 	p.received(beat, now)
 }
 
-// incarnation identifies one process (incarnation) of a node, so that counters of a restarted node are not mixed with
-// the earlier ones.
+// incarnation identifies one incarnation of a node, that is one run of its process, so that counters of a restarted
+// node are not mixed with the earlier ones.
 func incarnation(id string, start int64) string { return id + "@" + strconv.FormatInt(start, 10) }
 
 // nameHash is the hash that identifies a server or workspace in heartbeats.
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -20,7 +20,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Guards against heartbeats of an earlier process that arrive late, and against ignoring a node for good because its
+// Guards against applying late heartbeats of an earlier incarnation, and against ignoring a node for good because its
 // clock was set back before it restarted.
 func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
 	var received, restarted []int64
@@ -28,14 +28,14 @@
 		received:  func(b *pb.PeerBeat, _ time.Time) { received = append(received, b.Started) },
 		restarted: func(_ string, started int64) { restarted = append(restarted, started) }}
 	now := time.Unix(1000, 0)
-	beat := func(at int64) { p.handleHeartbeat(&pb.PeerBeat{Node: "a", PeerAddr: "10.0.0.1:1", Started: at}, now) }
-	beat(100)
-	beat(200)
-	beat(100) // arrives late
+	receive := func(at int64) { p.handleHeartbeat(&pb.PeerBeat{Node: "a", PeerAddr: "10.0.0.1:1", Started: at}, now) }
+	receive(100)
+	receive(200)
+	receive(100) // arrives late
 	assert.DeepEqual(t, received, []int64{100, 200})
 	assert.DeepEqual(t, restarted, []int64{100})
 	now = now.Add(5 * time.Second)
-	beat(150)
+	receive(150)
 	assert.DeepEqual(t, received, []int64{100, 200, 150})
 	assert.Equal(t, len(p.alive(now)), 1)
 	assert.Equal(t, len(p.alive(now.Add(time.Minute))), 0)
@@ -129,8 +129,8 @@
 	})
 }
 
-// Guards against ages that are too low because sending a heartbeat to all nodes takes a part of a second. Nodes adopt
-// and pass on the lowest age that they receive: a view then seems fresh permanently, no node reads the store, and
+// Guards against ages that are too low because sending a heartbeat to all nodes takes a fraction of a second. Nodes
+// adopt and pass on the lowest age that they receive: a view then seems fresh permanently, no node reads the store, and
 // drains go unseen for seconds.
 func TestAgesGrowWhileABeatIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/edge/peersend.go
+++ b/internal/edge/peersend.go
@@ -17,13 +17,13 @@
 	// do not keep sending at the same time.
 	jitterDivisor = 3
 	// After sending paceBytes a node waits for pacePause. That is half the bandwidth of the slowest links (10 Mbit/s),
-	// since a saturated link drops datagrams: when 86 nodes sent their heartbeats in one burst, the
-	// latest ones received were up to 6 s old.
+	// because a saturated link drops datagrams: when 86 nodes sent their heartbeats in one burst, the latest ones
+	// received were up to 6 s old.
 	paceBytes = 6 << 10
 	pacePause = 10 * time.Millisecond
-	// silentProbeInterval is how often a heartbeat is sent to a node that has been silent for a while.
-	silentProbeInterval = time.Second
-	// forgetAfter is how long a silent node without a row in the store is kept.
+	// unresponsiveProbeInterval is how often a heartbeat is sent to an unresponsive node.
+	unresponsiveProbeInterval = time.Second
+	// forgetAfter is how long an unresponsive node without a row in the store is kept.
 	forgetAfter = 30 * time.Second
 )
 
@@ -179,16 +179,16 @@
 	timeout := p.aliveTimeout()
 	var out []string
 	for name, n := range p.nodes {
-		lastHeard := n.receivedAt
-		if lastHeard.IsZero() {
-			lastHeard = n.addedAt
+		lastReceived := n.receivedAt
+		if lastReceived.IsZero() {
+			lastReceived = n.addedAt
 		}
-		silent := now.Sub(lastHeard)
-		if silent > forgetAfter && n.rowVersion == 0 {
+		elapsed := now.Sub(lastReceived)
+		if elapsed > forgetAfter && n.rowVersion == 0 {
 			delete(p.nodes, name)
 			continue
 		}
-		if (n.lastHeartbeat != nil && silent < timeout) || now.Sub(n.sentAt) > silentProbeInterval {
+		if (n.lastHeartbeat != nil && elapsed < timeout) || now.Sub(n.sentAt) > unresponsiveProbeInterval {
 			n.sentAt = now
 			out = append(out, n.addr)
 		}
--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -15,7 +15,7 @@
 )
 
 // maxBufferedBody is how much of a response body is read before the caller gets the first byte. If a response breaks
-// off before this point, the request can be retried.
+// off before this point, the request can still be retried, if its route allows it.
 const maxBufferedBody = 1 << 20
 
 // bufferedResponse is a server's response, or the first part of it.
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-// sendPlain sends a request that is not streamed to a server and passes the response to the caller.
+// sendPlain sends a request of a non-streaming route to a server and passes the response to the caller.
 func (n *Node) sendPlain(ctx context.Context, req *request, ticket *placement.Ticket) sendResult {
 	out, err := n.outbound(ctx, req, ticket, req.ResumeAfter)
 	if err != nil {
--- a/internal/edge/refuse.go
+++ b/internal/edge/refuse.go
@@ -53,13 +53,13 @@
 
 // logRequest writes the request's only log line, which says how it ended and why, and counts the request.
 func (n *Node) logRequest(req *request) {
-	took := time.Since(req.arrived)
-	n.metrics.Observe("request", took)
+	elapsed := time.Since(req.arrived)
+	n.metrics.Observe("request", elapsed)
 	n.metrics.Count("requests", "outcome", req.outcome, 1)
 	if !n.log.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Took: took.Milliseconds(), "config": n.config.Version()}
+	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Took: elapsed.Milliseconds(), "config": n.config.Version()}
 	if req.route != nil {
 		fields["route"] = req.route.Name
 	}
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -56,7 +56,7 @@
 }
 
 // relay sends a request to a server, and retries on others where the route allows it, until the caller has its
-// response. It returns an error if there is none.
+// response. It returns an error if nothing has been sent to the caller; a stream that was cut off is no error here.
 func (n *Node) relay(ctx context.Context, req *request) *code.Error {
 	now := time.Now()
 	n.retryWindow(req.service.Name).Request(now)
@@ -76,7 +76,8 @@
 	return refusal
 }
 
-// sendUntilDelivered sends a request to one server after the other.
+// sendUntilDelivered sends a request to one server after the other until a response is delivered or no further send is
+// allowed.
 func (n *Node) sendUntilDelivered(ctx context.Context, req *request) *code.Error {
 	stream := &streamRelay{n: n, req: req}
 	var failedResponse *bufferedResponse
@@ -100,8 +101,8 @@
 	}
 }
 
-// pickServer chooses a server. Before the first send to an engine it checks that the latency target and the deadline
-// can be met.
+// pickServer chooses a server. Before the first send it counts the request as demand and, for an engine, checks that the
+// latency target and the deadline can be met.
 func (n *Node) pickServer(req *request) (*placement.Ticket, *code.Error) {
 	now := time.Now()
 	choice := placement.Choice{Service: req.service.Name, Exclude: req.triedServers, Allowed: n.outliers.Allow}
@@ -231,7 +232,8 @@
 // reached its server.
 func (req *request) lastSendUnresolved() bool { return req.sends < len(req.triedServers) }
 
-// giveUp ends a request that is not sent to any further server.
+// giveUp ends a request that is not sent to any further server. It returns the error for the caller, or nil if the
+// caller has been sent the response of a failed server or part of a stream.
 func (n *Node) giveUp(req *request, stream *streamRelay, failedResponse *bufferedResponse, refusal *code.Error) *code.Error {
 	if stream.headerSent {
 		// The caller has part of the response; only closing the connection shows that it is incomplete.
@@ -264,7 +266,7 @@
 	}
 }
 
-// countUsage counts a request, once, when a server has begun to run it.
+// countUsage counts a request, once, as soon as a server may have begun to run it.
 func (n *Node) countUsage(req *request) {
 	if req.usageCounted || req.workspace == nil {
 		return
--- a/internal/edge/relay_test.go
+++ b/internal/edge/relay_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against a failed idempotent call although another server could respond.
-func TestRepeatableCallGoesToAnotherServer(t *testing.T) {
+func TestIdempotentCallGoesToAnotherServer(t *testing.T) {
 	for name, b := range map[string]standin.Behavior{"answer lost": {Lose: true}, "server error": {Fail: true},
 		"not run": {Reject: true}, "crossed answer": {Echo: "another"}, "unsigned": {Unsigned: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -190,7 +190,7 @@
 }
 
 // Guards against cutting off a stalled stream when the retry budget is exhausted: its server may still continue.
-func TestSilentStreamWaitsWhenRetryBudgetIsExhausted(t *testing.T) {
+func TestStalledStreamWaitsWhenRetryBudgetIsExhausted(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.retrySlack = 0
--- a/internal/edge/serverview.go
+++ b/internal/edge/serverview.go
@@ -19,13 +19,14 @@
 )
 
 const (
-	// The first node by readerRank polls the servers' rows every readInterval. The second waits minFailoverDelay longer
-	// and each further one another readStagger, up to maxReadDelay, so that usually one node reads for all.
+	// The first node by readerRank polls the servers' rows every readInterval. The second waits at least
+	// minFailoverDelay longer and each further one another readStagger, so that usually one node reads for all.
+	// maxReadDelay limits the total; both limits grow with missedHeartbeats in a large deployment.
 	readInterval     = 350 * time.Millisecond
 	readStagger      = 100 * time.Millisecond
 	minFailoverDelay = 350 * time.Millisecond
 	maxReadDelay     = 1100 * time.Millisecond
-	// missedHeartbeats is how many heartbeat intervals without news of a read pass before the next node reads by
+	// missedHeartbeats is how many heartbeat intervals pass without a report of a read before the next node reads by
 	// itself.
 	missedHeartbeats = 2
 	// readCheckInterval is how often a node checks whether it should read.
--- a/internal/edge/serverview_test.go
+++ b/internal/edge/serverview_test.go
@@ -29,7 +29,7 @@
 
 // Guards against a node that its peers consider cut off from the store permanently: after its one failed read, they
 // always read before a read by this node is due.
-func TestFailedStoreReadIsRetriedOutOfTurn(t *testing.T) {
+func TestFailedStoreReadIsRetriedBeforeItIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/edge/storereaders.go
+++ b/internal/edge/storereaders.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// maxStoreReaders is how many nodes long-poll each table of the store; the others learn of changes from heartbeats.
-	// It is the size of a small deployment, so that larger ones make no more calls. All readers lose the store at the
-	// same time only if nearly all nodes do.
+	// maxStoreReaders is how many nodes long-poll each table of the store but that of the servers, which serverView
+	// polls; the other nodes learn of changes from heartbeats. It is the size of a small deployment, so that larger ones
+	// make no more calls. All readers lose the store at the same time only if nearly all nodes do.
 	maxStoreReaders = 8
 	// storePollTimeout is the timeout of one long poll. It can be long because keep-alive probes detect a dead
 	// connection earlier, and peers announce newer versions.
 	storePollTimeout = 20 * time.Second
 	// readerRetryDelay is the delay of a store reader after a failed read; failed calls are charged as well.
 	readerRetryDelay = 400 * time.Millisecond
-	// otherRetryDelay is the mean delay, randomized by half of it, of the other nodes, which only check whether the
-	// store has recovered.
+	// otherRetryDelay is the mean delay, with a jitter of ±50%, after a failed read by any other node, which only checks
+	// whether the store has recovered.
 	otherRetryDelay = 2 * time.Second
 	// selectionInterval is how often a node that is not selected checks whether it is now.
 	selectionInterval = 100 * time.Millisecond
 )
 
-// readerSelection selects the nodes that read the store: the first by name among those that can reach it. There is no
-// election by messages, and nodes that hear from no other node all read.
+// readerSelection selects the nodes that read the store: the first by name among those that can reach it. Each node
+// decides from the heartbeats that it receives, without an election; a node that receives none reads the store itself.
 type readerSelection struct {
 	// readerRank is this node's rank among the nodes that can reach the store, nodeRank the one among all nodes.
 	readerRank, nodeRank func() int
@@ -62,7 +62,7 @@
 	apply func(ctx context.Context, c platform.Change) error
 }
 
-// step reads once. It returns the version from which the next step continues; 0 makes that one read the whole table.
+// step reads once. It returns the version after which the next step continues; 0 makes that one read the whole table.
 func (r *tableReader) step(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	if since == 0 {
 		return r.readAll(ctx)
@@ -100,7 +100,8 @@
 	return version, nil
 }
 
-// watch calls step until ctx ends: once at the start, then while this node is selected.
+// watch calls step until ctx ends: at the start until the whole table has been read, later while this node is selected
+// or cannot reach the store.
 func (s *readerSelection) watch(ctx context.Context, dep *dependency,
 	step func(ctx context.Context, since uint64, wait time.Duration) (uint64, error)) {
 	since := uint64(0)
--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// writeHeader sends the response header to the caller.
+// writeHeader sends the caller the header of resp: that of the first server with an event, or with a complete stream
+// without events.
 func (s *streamRelay) writeHeader(resp *http.Response) {
 	header := s.req.w.Header()
 	for name, values := range s.n.headers.Answer(resp.Header) {
--- a/internal/edge/usagereport.go
+++ b/internal/edge/usagereport.go
@@ -79,9 +79,9 @@
 	if err != nil {
 		return nil, err
 	}
-	frozen := &pb.FrozenUsage{}
-	if err := proto.Unmarshal(row.Value, frozen); err != nil {
+	stored := &pb.FrozenUsage{}
+	if err := proto.Unmarshal(row.Value, stored); err != nil {
 		return nil, err
 	}
-	return frozen.Counts, nil
+	return stored.Counts, nil
 }
--- a/internal/edge/viewchanges.go
+++ b/internal/edge/viewchanges.go
@@ -135,7 +135,7 @@
 	}
 	changed := v.publish()
 	if view.Since > 0 && v.digest != view.Digest {
-		// The changes are right, but this view misses others. Its version is kept, so that the view is fetched.
+		// The changes are right, but this view misses others. Its version is kept, so that the whole view is fetched.
 		v.incomplete = true
 		return errDigestMismatch
 	}
--- a/internal/edge/viewchanges_test.go
+++ b/internal/edge/viewchanges_test.go
@@ -148,7 +148,7 @@
 
 // Guards against a node that learns nothing new for seconds because the connections to the peers it asks first have
 // stopped responding.
-func TestSilentPeersDoNotBlockFetches(t *testing.T) {
+func TestUnresponsivePeersDoNotBlockFetches(t *testing.T) {
 	f := newFetcher(&configView{}, newTestView(nil), logrus.NewEntry(logrus.New()))
 	now := time.Unix(1000, 0)
 	begins := func(peer string) bool { return f.tryBegin(pathServers, pathServers+" "+peer, now) }
