--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// RepeatRule says how often a request may run.
+// RepeatRule says whether a request may run more than once.
 type RepeatRule uint8
 
 const (
 	// AtMostOnce requests run at most once; a request that was sent and not answered is not sent again.
 	AtMostOnce RepeatRule = iota
-	// Repeatable requests may run any number of times.
-	Repeatable
+	// Idempotent requests may run any number of times.
+	Idempotent
 	// Resumable streams may be continued on another server after the last event delivered to the caller.
 	Resumable
 )
 
-// MayRepeat reports whether a request that may have run can be sent again.
-func (r RepeatRule) MayRepeat() bool { return r != AtMostOnce }
+// MayRetry reports whether a request that may have run can be sent again.
+func (r RepeatRule) MayRetry() bool { return r != AtMostOnce }
 
 // Target is one service of a route with its weight in the distribution of requests.
 type Target struct {
