--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -118,7 +118,7 @@
 	if err != nil || response.rest != nil {
 		return sendResult{status: responseLost, reason: "answer_cut"}
 	}
-	response.header = s.n.headers.Answer(response.header)
+	response.header = s.n.headers.ForwardResponse(response.header)
 	return sendResult{status: serverFailed, reason: "server_error", response: response}
 }
 
@@ -170,7 +170,7 @@
 // without events.
 func (s *streamRelay) writeHeader(resp *http.Response) {
 	header := s.req.w.Header()
-	for name, values := range s.n.headers.Answer(resp.Header) {
+	for name, values := range s.n.headers.ForwardResponse(resp.Header) {
 		header[name] = values
 	}
 	header.Del("Content-Length")
