--- a/internal/edge/storereaders.go
+++ b/internal/edge/storereaders.go
@@ -52,7 +52,7 @@
 	return otherRetryDelay/2 + rand.N(otherRetryDelay)
 }
 
-// tableReader reads a table of the store and the changes to it.
+// tableReader reads a table of the store and what changes in it.
 type tableReader struct {
 	store Store
 	table string
@@ -62,7 +62,7 @@
 	apply func(ctx context.Context, c platform.Change) error
 }
 
-// step reads once. It returns the version after which the next step continues; 0 makes that one read the whole table.
+// step returns the version after which the next step continues; 0 reads the whole table again.
 func (r *tableReader) step(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	if since == 0 {
 		return r.readAll(ctx)
@@ -128,7 +128,7 @@
 type dependency struct {
 	log  *logrus.Entry
 	name string
-	// lost counts the node's lost dependencies.
+	// lost counts the dependencies of the node that are lost.
 	lost   *atomic.Int32
 	lostAt time.Time
 }
