--- a/internal/adapter/enginehttp/bench_test.go
+++ b/internal/adapter/enginehttp/bench_test.go
@@ -20,31 +20,31 @@
 
 // lineSource returns one chunk per read, as an engine sends them.
 type lineSource struct {
-	left int
-	line []byte
+	remaining int
+	line      []byte
 }
 
 func (s *lineSource) Read(p []byte) (int, error) {
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return copy(p, `{"offset":1,"finish_reason":"stop"}`+"\n"), nil
 	}
-	s.left--
+	s.remaining--
 	return copy(p, s.line), nil
 }
 
-// BenchmarkChunk measures parsing and the silence limit per token, without the network.
+// BenchmarkChunk measures parsing and the read timer per token, without the network.
 func BenchmarkChunk(b *testing.B) {
-	silence := startSilence(time.Hour, func() {})
-	defer silence.stop()
+	timer := startReadTimer(time.Hour, func() {})
+	defer timer.stop()
 	client := New(Options{})
 	b.ReportAllocs()
 	source := &lineSource{b.N, []byte(`{"offset":1234,"tokens":[" token"]}` + "\n")}
-	if err := client.readChunks(source, silence, func(backend.Chunk) error { return nil }); err != nil {
+	if err := client.readChunks(source, timer, func(backend.Chunk) error { return nil }); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// BenchmarkReadLoopback is the lower bound for BenchmarkStreamLoopback: the same server, and a client that only reads.
+// BenchmarkReadLoopback is the lower bound for BenchmarkStreamLoopback: the same server with a client that only reads.
 func BenchmarkReadLoopback(b *testing.B) {
 	l := serveTokens(b)
 	defer l.Close()
@@ -61,8 +61,8 @@
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/token")
 }
 
-// BenchmarkStreamLoopback measures one stream over loopback TCP per token, one write per token: the time, and the CPU
-// time of the whole process, that is of the client and of a minimal server.
+// BenchmarkStreamLoopback measures one stream over loopback TCP with one write per token. It reports the time per token
+// and the CPU time of the whole process, that is, of the client and a minimal server.
 func BenchmarkStreamLoopback(b *testing.B) {
 	l := serveTokens(b)
 	defer l.Close()
@@ -76,7 +76,7 @@
 }
 
 // BenchmarkEngine500Streams measures 500 concurrent streams of one stand-in per token, client and stand-in together.
-// Each run has as many rounds of 500 answers as give at least b.N tokens.
+// Each run has as many rounds of 500 responses as needed for at least b.N tokens.
 func BenchmarkEngine500Streams(b *testing.B) {
 	const streams, length = 500, 64
 	e := engine.New(engine.Options{Models: []string{"m"}, MaxBatch: streams, StepBase: 10 * time.Millisecond, StepPerSequence: 10 * time.Microsecond})
@@ -109,7 +109,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// serveTokens answers the first request with b.N tokens, one write per token.
+// serveTokens responds to the first request with b.N tokens, one write per token.
 func serveTokens(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -123,12 +123,12 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		_, _ = io.WriteString(c, head)
-		token := []byte(piece(`{"offset":1234,"tokens":[" token"]}` + "\n"))
+		_, _ = io.WriteString(c, responseHead)
+		token := []byte(httpChunk(`{"offset":1234,"tokens":[" token"]}` + "\n"))
 		for range b.N {
 			_, _ = c.Write(token)
 		}
-		_, _ = io.WriteString(c, piece(`{"offset":1,"finish_reason":"stop"}`+"\n")+"0\r\n\r\n")
+		_, _ = io.WriteString(c, httpChunk(`{"offset":1,"finish_reason":"stop"}`+"\n")+"0\r\n\r\n")
 		_ = c.Close()
 	}()
 	return l
--- a/internal/adapter/enginehttp/chunk.go
+++ b/internal/adapter/enginehttp/chunk.go
@@ -16,18 +16,18 @@
 	lineBufferBytes = 4 << 10
 	// maxLineBytes bounds one chunk.
 	maxLineBytes = 1 << 20
-	// slabTokens is how many token slices share one allocation.
+	// slabTokens is the minimum number of tokens whose strings share one slice allocation.
 	slabTokens = 32
 )
 
 var errLineTooLong = errors.New("enginehttp: line is too long")
 
-var buffers = sync.Pool{New: func() any {
+var lineBuffers = sync.Pool{New: func() any {
 	b := make([]byte, lineBufferBytes)
 	return &b
 }}
 
-// lineReader splits a body into lines. A line is valid until the next call.
+// lineReader splits a body into lines. A line is valid until the next call of next.
 type lineReader struct {
 	body       io.Reader
 	buf        *[]byte
@@ -35,18 +35,18 @@
 }
 
 func newLineReader(body io.Reader) *lineReader {
-	return &lineReader{body: body, buf: buffers.Get().(*[]byte)}
+	return &lineReader{body: body, buf: lineBuffers.Get().(*[]byte)}
 }
 
 func (r *lineReader) release() {
 	if len(*r.buf) == lineBufferBytes {
-		buffers.Put(r.buf)
+		lineBuffers.Put(r.buf)
 	}
 	r.buf = nil
 }
 
-// next returns the next line without its end.
-func (r *lineReader) next(silence *silenceTimer, limit time.Duration) ([]byte, error) {
+// next returns the next line without its newline.
+func (r *lineReader) next(timer *readTimer, timeout time.Duration) ([]byte, error) {
 	scanned := r.start
 	for {
 		if i := bytes.IndexByte((*r.buf)[scanned:r.end], '\n'); i >= 0 {
@@ -59,14 +59,14 @@
 			r.start, r.end, scanned = 0, 0, 0
 		}
 		if r.end == len(*r.buf) {
-			if err := r.makeRoom(); err != nil {
+			if err := r.grow(); err != nil {
 				return nil, err
 			}
 			scanned = r.end
 		}
-		silence.arm(limit)
+		timer.arm(timeout)
 		n, err := r.body.Read((*r.buf)[r.end:])
-		silence.disarm()
+		timer.disarm()
 		r.end += n
 		if n == 0 && err != nil {
 			return nil, err
@@ -74,8 +74,9 @@
 	}
 }
 
-// makeRoom moves the unread bytes to the start of the buffer, or doubles the buffer when they fill it.
-func (r *lineReader) makeRoom() error {
+// grow makes room for further reads: it moves the unread bytes to the start of the buffer, or doubles the buffer when
+// they fill it.
+func (r *lineReader) grow() error {
 	if r.start == 0 {
 		if len(*r.buf) >= maxLineBytes {
 			return errLineTooLong
@@ -91,18 +92,18 @@
 	return nil
 }
 
-// finishLimit bounds the wait for the end of a body after the last chunk.
-const finishLimit = 200 * time.Millisecond
+// finishTimeout bounds the wait for the end of the body after the last chunk.
+const finishTimeout = 200 * time.Millisecond
 
-// finish reads the end of the body, so that the connection can be used again.
-func (r *lineReader) finish(silence *silenceTimer) {
-	silence.shorten(finishLimit)
-	silence.arm(finishLimit)
+// finish reads the end of the body, so that the connection can be reused.
+func (r *lineReader) finish(timer *readTimer) {
+	timer.shorten(finishTimeout)
+	timer.arm(finishTimeout)
 	_, _ = r.body.Read(*r.buf)
 }
 
-// chunkParser parses chunks. It knows the usual form {"offset":N,"tokens":["...",...]} without escapes and leaves
-// every other form to encoding/json. A chunk stays valid: its slices are not used again.
+// chunkParser parses chunks. It has a fast path for the common form {"offset":N,"tokens":["...",...]} without escapes
+// and uses encoding/json for all others. A returned chunk stays valid: its slices are not reused.
 type chunkParser struct {
 	slab []string
 }
@@ -113,7 +114,7 @@
 )
 
 func (p *chunkParser) parse(line []byte) (backend.Chunk, error) {
-	if chunk, ok := p.parseUsual(line); ok {
+	if chunk, ok := p.parseCommon(line); ok {
 		return chunk, nil
 	}
 	var chunk backend.Chunk
@@ -121,7 +122,7 @@
 	return chunk, err
 }
 
-func (p *chunkParser) parseUsual(line []byte) (chunk backend.Chunk, ok bool) {
+func (p *chunkParser) parseCommon(line []byte) (chunk backend.Chunk, ok bool) {
 	rest, found := bytes.CutPrefix(line, offsetPrefix)
 	if !found {
 		return chunk, false
@@ -163,8 +164,8 @@
 	}
 }
 
-// cutString returns the content of the JSON string at the start of b and what follows. A string with escapes,
-// control characters or invalid UTF-8 is left to encoding/json.
+// cutString returns the content of the JSON string at the start of b and the bytes after it. ok is false for a string
+// with escapes, control characters or invalid UTF-8, which encoding/json parses instead.
 func cutString(b []byte) (content, after []byte, ok bool) {
 	if len(b) == 0 || b[0] != '"' {
 		return nil, nil, false
--- a/internal/adapter/enginehttp/enginehttp.go
+++ b/internal/adapter/enginehttp/enginehttp.go
@@ -1,4 +1,4 @@
-// Package enginehttp is the backend.Engine for model engines that speak JSON lines over HTTP/1.1. The package
+// Package enginehttp implements backend.Engine for model engines that use JSON lines over HTTP/1.1. The package
 // comment of internal/standin/engine describes the protocol.
 package enginehttp
 
@@ -25,16 +25,16 @@
 	DefaultSilence      = 2 * time.Second
 )
 
-// maxReplyBytes bounds every answer except the stream of Generate.
-const maxReplyBytes = 64 << 20
+// maxResponseBytes bounds every response body except the stream of Generate.
+const maxResponseBytes = 64 << 20
 
-// maxErrorBytes is how much of an error's body is kept for its message.
+// maxErrorBytes bounds the part of an error response's body that is included in the error message.
 const maxErrorBytes = 256
 
-// Options configure a Client. Zero values mean the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
-	// FirstSilence bounds the time without any byte until the first chunk, while the request may wait on the engine
-	// and only heartbeats arrive. Silence bounds it between chunks.
+	// FirstSilence is the read timeout until the first chunk, while the request may be queued on the engine and only
+	// heartbeats arrive. Silence is the read timeout between chunks. Any received byte restarts either timeout.
 	FirstSilence time.Duration
 	Silence      time.Duration
 	HTTP         httpclient.Options
@@ -62,8 +62,8 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.Close() }
 
-// Generate implements backend.Engine. An error of emit is returned as it is; when ctx ends after the request was
-// sent, the error is both backend.ErrInterrupted and that of ctx. A stream that ends with an error closes its
+// Generate implements backend.Engine. An error of emit is returned unchanged. When ctx ends after the request was
+// sent, the error wraps both backend.ErrInterrupted and ctx.Err(). A stream that ends with an error closes its
 // connection.
 func (c *Client) Generate(ctx context.Context, addr string, req backend.GenerateRequest, emit func(backend.Chunk) error) error {
 	body, err := json.Marshal(req)
@@ -72,59 +72,59 @@
 	}
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := startSilence(c.options.FirstSilence, cancel)
+	timer := startReadTimer(c.options.FirstSilence, cancel)
 	defer func() {
-		silence.stop()
-		if silence.fired.Load() {
-			c.http.Renew(addr)
+		timer.stop()
+		if timer.fired.Load() {
+			c.http.RetireConns(addr)
 		}
 	}()
 	resp, err := c.send(streamCtx, addr, "/v1/generate", body)
 	if err != nil {
-		return silence.classify(err)
+		return timer.classify(err)
 	}
-	// Closing an incomplete body closes its connection.
+	// Closing a body before its end closes the connection.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return statusError(resp)
 	}
-	err = c.readChunks(resp.Body, silence, emit)
-	if err != nil && ctx.Err() != nil && isTransport(err) {
+	err = c.readChunks(resp.Body, timer, emit)
+	if err != nil && ctx.Err() != nil && isTransportError(err) {
 		return fmt.Errorf("%w: %w", backend.ErrInterrupted, ctx.Err())
 	}
 	return err
 }
 
-// transportError is a failure of the stream, as opposed to one of emit.
+// transportError is an error of the stream, as opposed to one returned by emit.
 type transportError struct{ error }
 
-// Unwrap returns the failure.
+// Unwrap returns the stream's error.
 func (e transportError) Unwrap() error { return e.error }
 
-func isTransport(err error) bool {
+func isTransportError(err error) bool {
 	_, ok := err.(transportError)
 	return ok
 }
 
-func (c *Client) readChunks(body io.Reader, silence *silenceTimer, emit func(backend.Chunk) error) error {
+func (c *Client) readChunks(body io.Reader, timer *readTimer, emit func(backend.Chunk) error) error {
 	lines := newLineReader(body)
 	defer lines.release()
 	var parser chunkParser
-	limit := c.options.FirstSilence
+	timeout := c.options.FirstSilence
 	for {
-		line, err := lines.next(silence, limit)
+		line, err := lines.next(timer, timeout)
 		if err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
-			return transportError{silence.classify(fmt.Errorf("%w: %w", backend.ErrInterrupted, err))}
+			return transportError{timer.classify(fmt.Errorf("%w: %w", backend.ErrInterrupted, err))}
 		}
 		if len(line) == 0 { // heartbeat
 			continue
 		}
-		if limit != c.options.Silence {
-			limit = c.options.Silence
-			silence.shorten(limit)
+		if timeout != c.options.Silence {
+			timeout = c.options.Silence
+			timer.shorten(timeout)
 		}
 		chunk, err := parser.parse(line)
 		if err != nil {
@@ -134,40 +134,40 @@
 			return err
 		}
 		if chunk.FinishReason != "" {
-			lines.finish(silence)
+			lines.finish(timer)
 			return nil
 		}
 	}
 }
 
-// silenceTimer cancels a stream on which a read waits for too long. Arming it only stores the deadline, since
-// resetting a timer for each token costs more; the timer moves itself when it fires early.
-type silenceTimer struct {
+// readTimer cancels a stream when a read exceeds its timeout. Arming it only stores the deadline, which is cheaper than
+// resetting a timer for each token; a timer that fires before the deadline resets itself.
+type readTimer struct {
 	timer    *time.Timer
 	start    time.Time
-	limit    atomic.Int64 // duration of the current limit
-	deadline atomic.Int64 // nanoseconds after start; 0 while no read waits
+	timeout  atomic.Int64 // current timeout in nanoseconds
+	deadline atomic.Int64 // nanoseconds after start; 0 while no read is in progress
 	fired    atomic.Bool
 	cancel   context.CancelFunc
 }
 
-func startSilence(limit time.Duration, cancel context.CancelFunc) *silenceTimer {
-	s := &silenceTimer{start: time.Now(), cancel: cancel}
-	s.limit.Store(int64(limit))
-	s.deadline.Store(int64(limit))
+func startReadTimer(timeout time.Duration, cancel context.CancelFunc) *readTimer {
+	s := &readTimer{start: time.Now(), cancel: cancel}
+	s.timeout.Store(int64(timeout))
+	s.deadline.Store(int64(timeout))
 	ready := make(chan struct{})
-	s.timer = time.AfterFunc(limit, func() {
-		<-ready // the assignment of timer
+	s.timer = time.AfterFunc(timeout, func() {
+		<-ready // s.timer is assigned
 		s.check()
 	})
 	close(ready)
 	return s
 }
 
-func (s *silenceTimer) check() {
+func (s *readTimer) check() {
 	deadline := s.deadline.Load()
 	if deadline == 0 {
-		s.timer.Reset(time.Duration(s.limit.Load()))
+		s.timer.Reset(time.Duration(s.timeout.Load()))
 		return
 	}
 	if left := time.Duration(deadline) - time.Since(s.start); left > 0 {
@@ -178,24 +178,24 @@
 	s.cancel()
 }
 
-// arm starts to count for a read.
-func (s *silenceTimer) arm(limit time.Duration) {
-	s.deadline.Store(int64(time.Since(s.start) + limit))
+// arm sets the deadline of a read that is about to start.
+func (s *readTimer) arm(timeout time.Duration) {
+	s.deadline.Store(int64(time.Since(s.start) + timeout))
 }
 
-// disarm stops counting: what the receiver of a chunk takes is no silence of the server.
-func (s *silenceTimer) disarm() { s.deadline.Store(0) }
+// disarm clears the deadline: the time that the receiver of a chunk needs does not count as read time.
+func (s *readTimer) disarm() { s.deadline.Store(0) }
 
-// shorten makes a smaller limit take effect from now on.
-func (s *silenceTimer) shorten(limit time.Duration) {
-	s.limit.Store(int64(limit))
-	s.timer.Reset(limit)
+// shorten applies a shorter timeout immediately.
+func (s *readTimer) shorten(timeout time.Duration) {
+	s.timeout.Store(int64(timeout))
+	s.timer.Reset(timeout)
 }
 
-func (s *silenceTimer) stop() { s.timer.Stop() }
+func (s *readTimer) stop() { s.timer.Stop() }
 
-// classify replaces backend.ErrInterrupted when silence was the reason. An error of another class stays.
-func (s *silenceTimer) classify(err error) error {
+// classify returns backend.ErrSilent when the read timeout caused err, unless err is backend.ErrUnreachable.
+func (s *readTimer) classify(err error) error {
 	if !s.fired.Load() || errors.Is(err, backend.ErrUnreachable) {
 		return err
 	}
@@ -237,7 +237,7 @@
 	return err
 }
 
-func (c *Client) get(ctx context.Context, addr, path string, into any) error {
+func (c *Client) get(ctx context.Context, addr, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", backend.ErrUnreachable, err)
@@ -246,11 +246,11 @@
 	if err != nil {
 		return err
 	}
-	data, err := readReply(resp)
+	data, err := readResponse(resp)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, out); err != nil {
 		return fmt.Errorf("%w: %w", backend.ErrInterrupted, err)
 	}
 	return nil
@@ -261,7 +261,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return readReply(resp)
+	return readResponse(resp)
 }
 
 func (c *Client) send(ctx context.Context, addr, path string, body []byte) (*http.Response, error) {
@@ -273,12 +273,12 @@
 	return c.http.Do(req)
 }
 
-func readReply(resp *http.Response) ([]byte, error) {
+func readResponse(resp *http.Response) ([]byte, error) {
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
 		return nil, statusError(resp)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	httpclient.Drain(resp.Body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", backend.ErrInterrupted, err)
@@ -286,7 +286,7 @@
 	return data, nil
 }
 
-// statusError returns the error for an answer other than 200.
+// statusError returns the error for a response whose status is not 200.
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	httpclient.Drain(resp.Body)
--- a/internal/adapter/enginehttp/enginehttp_test.go
+++ b/internal/adapter/enginehttp/enginehttp_test.go
@@ -24,20 +24,20 @@
 
 const addr = "engine:1"
 
-var classes = []error{
+var errorClasses = []error{
 	backend.ErrRefused, backend.ErrUnreachable, backend.ErrInterrupted, backend.ErrSilent, backend.ErrStaleFencing,
 }
 
 // assertClass checks that err has the class want and no other.
 func assertClass(t *testing.T, err, want error) {
 	t.Helper()
-	for _, class := range classes {
+	for _, class := range errorClasses {
 		assert.Equal(t, errors.Is(err, class), class == want, "%v: %v", class, err)
 	}
 }
 
-// rawServer answers each connection by a function, after it has read the request when readRequest is set.
-func rawServer(t *testing.T, network *netfault.PipeNetwork, readRequest bool, answer func(c net.Conn)) net.Listener {
+// rawServer calls respond for each connection, after reading the request when readRequest is set.
+func rawServer(t *testing.T, network *netfault.PipeNetwork, readRequest bool, respond func(c net.Conn)) net.Listener {
 	l, err := network.Listen(addr)
 	assert.NilError(t, err)
 	go func() {
@@ -54,25 +54,25 @@
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
 			}
-			answer(c)
+			respond(c)
 		}
 	}()
 	return l
 }
 
-const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func piece(line string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(line), line) }
+func httpChunk(line string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(line), line) }
 
-// Guards against a failure of the wrong class. ErrUnreachable allows a resend of anything, so it must not appear once
-// a byte may have left; ErrSilent closes a connection that others would wait on.
+// Guards against errors of the wrong class. ErrUnreachable allows any request to be resent, so it must not occur once a
+// byte may have been sent. ErrSilent retires connections that other requests would otherwise wait on.
 func TestErrorClasses(t *testing.T) {
-	token := piece(`{"offset":0,"tokens":["a"]}` + "\n")
+	token := httpChunk(`{"offset":0,"tokens":["a"]}` + "\n")
 	cases := []struct {
 		name        string
 		listens     bool
 		readRequest bool
-		answer      func(c net.Conn)
+		respond     func(c net.Conn)
 		want        error
 		tokens      int
 	}{
@@ -83,18 +83,18 @@
 		}, backend.ErrInterrupted, 0},
 		{"closed before the header", true, true, func(c net.Conn) { _ = c.Close() }, backend.ErrInterrupted, 0},
 		{"closed after the header", true, true, func(c net.Conn) {
-			_, _ = io.WriteString(c, head)
+			_, _ = io.WriteString(c, responseHead)
 			_ = c.Close()
 		}, backend.ErrInterrupted, 0},
 		{"closed after a token", true, true, func(c net.Conn) {
-			_, _ = io.WriteString(c, head+token)
+			_, _ = io.WriteString(c, responseHead+token)
 			_ = c.Close()
 		}, backend.ErrInterrupted, 1},
 		{"complete body without the last chunk", true, true, func(c net.Conn) {
-			_, _ = io.WriteString(c, head+token+"0\r\n\r\n")
+			_, _ = io.WriteString(c, responseHead+token+"0\r\n\r\n")
 		}, backend.ErrInterrupted, 1},
 		{"malformed chunk", true, true, func(c net.Conn) {
-			_, _ = io.WriteString(c, head+piece("{\"offset\":x}\n"))
+			_, _ = io.WriteString(c, responseHead+httpChunk("{\"offset\":x}\n"))
 		}, backend.ErrInterrupted, 0},
 		{"refused", true, true, func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -103,14 +103,14 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}, backend.ErrInterrupted, 0},
 		{"silent before the header", true, true, func(net.Conn) {}, backend.ErrSilent, 0},
-		{"silent after a token", true, true, func(c net.Conn) { _, _ = io.WriteString(c, head+token) }, backend.ErrSilent, 1},
+		{"silent after a token", true, true, func(c net.Conn) { _, _ = io.WriteString(c, responseHead+token) }, backend.ErrSilent, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				network := netfault.NewPipeNetwork()
 				if c.listens {
-					defer rawServer(t, network, c.readRequest, c.answer).Close()
+					defer rawServer(t, network, c.readRequest, c.respond).Close()
 				}
 				client := New(Options{HTTP: httpclient.Options{Dial: network.Dial}})
 				defer client.Close()
@@ -135,19 +135,19 @@
 	}
 }
 
-// Guards against a limit that takes effect late, that ends a stream whose receiver is slow, or that ignores the signs
-// of life of a request that waits.
+// Guards against a read timeout that takes effect late, ends a stream whose receiver is slow, or ignores the heartbeats
+// of a queued request.
 func TestSilenceLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
 		defer rawServer(t, network, true, func(c net.Conn) {
-			_, _ = io.WriteString(c, head)
+			_, _ = io.WriteString(c, responseHead)
 			for range 4 { // heartbeats
 				time.Sleep(4 * time.Second)
-				_, _ = io.WriteString(c, piece("\n"))
+				_, _ = io.WriteString(c, httpChunk("\n"))
 			}
 			for i := range 2 {
-				_, _ = io.WriteString(c, piece(fmt.Sprintf(`{"offset":%d,"tokens":["a"]}`+"\n", i)))
+				_, _ = io.WriteString(c, httpChunk(fmt.Sprintf(`{"offset":%d,"tokens":["a"]}`+"\n", i)))
 			}
 		}).Close()
 		client := New(Options{HTTP: httpclient.Options{Dial: network.Dial}, FirstSilence: 5 * time.Second, Silence: time.Second})
@@ -162,8 +162,8 @@
 	})
 }
 
-// Guards against the reuse of connections that went silent, while new connections work: neither the one of the failed
-// stream nor those that were idle at the time nor one that still served a stream may take another request.
+// Guards against the reuse of unresponsive connections while new ones work. Neither the connection of the failed
+// stream, nor those that were idle at the time, nor one that still served a stream may accept another request.
 func TestSilentConnectionsAreNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
@@ -180,7 +180,7 @@
 		for _, maxTokens := range []int{5, 5, 5, 30} {
 			go func() { streams <- run(maxTokens) }()
 		}
-		for range 3 { // leave idle connections
+		for range 3 { // these leave idle connections
 			assert.NilError(t, <-streams)
 		}
 		assert.Equal(t, e.Net().SilenceOpen(), 4)
@@ -189,7 +189,7 @@
 		assert.NilError(t, run(5))
 		assert.Assert(t, time.Since(start) < time.Second)
 
-		// A deadline without an answer has the same effect.
+		// A deadline that passes without a response has the same effect.
 		for range 2 {
 			go func() { streams <- run(5) }()
 		}
@@ -209,8 +209,8 @@
 	})
 }
 
-// Guards against a stream that is cut because another connection to the same server went silent.
-func TestRenewKeepsStreamsInProgress(t *testing.T) {
+// Guards against cutting off a stream because another connection to the same server became unresponsive.
+func TestRetireConnsKeepsStreamsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
 		e := engine.New(engine.Options{Models: []string{"m"}, Listen: network.Listen})
@@ -226,7 +226,7 @@
 		req := backend.GenerateRequest{ID: "1", Model: "m", Prompt: "p", MaxTokens: 40}
 		err := client.Generate(t.Context(), addr, req, func(backend.Chunk) error {
 			if tokens++; tokens == 10 {
-				client.http.Renew(addr)
+				client.http.RetireConns(addr)
 			}
 			return nil
 		})
@@ -235,11 +235,11 @@
 		synctest.Wait()
 		_, err = client.Load(t.Context(), addr)
 		assert.NilError(t, err)
-		assert.Equal(t, dials, 2, "a connection from before Renew was used again")
+		assert.Equal(t, dials, 2, "a connection opened before RetireConns was reused")
 	})
 }
 
-// Guards against a wrong class when the context ends while the server cannot be reached: then nothing was sent.
+// Guards against a wrong error class when the context ends during the dial: nothing was sent.
 func TestContextEndsDuringDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := New(Options{HTTP: httpclient.Options{
@@ -258,7 +258,7 @@
 	})
 }
 
-// Guards against a new connection for each request, which would cost a round trip.
+// Guards against a new connection for each request, which would cost an extra round trip.
 func TestConnectionIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
@@ -277,13 +277,13 @@
 			_, err := client.Load(t.Context(), addr)
 			assert.NilError(t, err)
 			assert.ErrorIs(t, client.Generate(t.Context(), addr, backend.GenerateRequest{}, nil), backend.ErrRefused)
-			synctest.Wait() // the transport takes the connection back in a goroutine
+			synctest.Wait() // the transport returns the connection to the pool in a goroutine
 		}
 		assert.Equal(t, dials, 1)
 	})
 }
 
-// Guards against a hand-written parser that differs from encoding/json.
+// Guards against differences between the hand-written parser and encoding/json.
 func FuzzParseChunk(f *testing.F) {
 	for _, seed := range []string{
 		`{"offset":0,"tokens":["a"]}`, `{"offset":12,"tokens":["a"," b","é"]}`, `{"offset":007,"tokens":["a"]}`,
@@ -305,8 +305,8 @@
 	})
 }
 
-// Guards against lines that are cut or joined at the borders of reads and of the buffer, and tokens that change when
-// the buffer is used again.
+// Guards against lines that are split or joined at the boundaries of reads and of the buffer, and against tokens that
+// change when the buffer is reused.
 func TestLinesAcrossReads(t *testing.T) {
 	var body bytes.Buffer
 	var want []string
@@ -316,11 +316,11 @@
 		fmt.Fprintf(&body, `{"offset":%d,"tokens":[%q]}`+"\n\n", i, token)
 	}
 	body.WriteString(`{"offset":200,"finish_reason":"stop"}` + "\n")
-	silence := startSilence(time.Hour, func() {})
-	defer silence.stop()
+	timer := startReadTimer(time.Hour, func() {})
+	defer timer.stop()
 	client := New(Options{})
 	var got []string
-	err := client.readChunks(shortReader{&body}, silence, func(c backend.Chunk) error {
+	err := client.readChunks(shortReader{&body}, timer, func(c backend.Chunk) error {
 		got = append(got, c.Tokens...)
 		return nil
 	})
--- a/internal/adapter/httpclient/httpclient.go
+++ b/internal/adapter/httpclient/httpclient.go
@@ -1,7 +1,7 @@
-// Package httpclient sends requests to backend servers over HTTP/1.1 and tells exactly whether a failed request can
+// Package httpclient sends requests to backend servers over HTTP/1.1 and reports exactly whether a failed request may
 // have reached the server.
 //
-// HTTP/2 is not used: one silent connection would then take many requests with it. Redirects are not followed and
+// HTTP/2 is not used, because one unresponsive connection would then fail many requests. Redirects are not followed and
 // no proxy is used.
 package httpclient
 
@@ -29,11 +29,11 @@
 
 const bufferBytes = 4 << 10
 
-// Options configure a Client. Zero values mean the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
-	// MaxIdleConnections is per server.
+	// MaxIdleConnections is the limit per server address.
 	MaxIdleConnections int
 	// SingleUse closes each connection after one request.
 	SingleUse bool
@@ -41,7 +41,7 @@
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Client sends requests.
+// Client sends requests. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 
@@ -49,7 +49,7 @@
 	conns map[string]map[*conn]struct{} // open connections by address
 }
 
-// New returns a client.
+// New returns a client. It opens no connection.
 func New(o Options) *Client {
 	if o.DialTimeout == 0 {
 		o.DialTimeout = DefaultDialTimeout
@@ -107,10 +107,10 @@
 	}
 }
 
-// Renew makes all further requests to addr use connections that are opened from now on. Requests in progress keep
-// theirs. It is called when a connection went silent, since those opened before may be silent as well while new ones
-// work. Do calls it when a deadline passes after the request was sent.
-func (c *Client) Renew(addr string) {
+// RetireConns retires all open connections to addr, so that later requests use new ones. Requests in progress keep
+// their connections. It is called when a connection stops responding, because other old connections may be unresponsive
+// as well while new ones work. Do calls it when a deadline passes after the request was sent.
+func (c *Client) RetireConns(addr string) {
 	c.mu.Lock()
 	open := make([]*conn, 0, len(c.conns[addr]))
 	for wrapped := range c.conns[addr] {
@@ -125,17 +125,17 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Do sends req and returns the response once its header is there. An error is backend.ErrUnreachable when no byte
-// of the request has left and none can leave later, and backend.ErrInterrupted otherwise. The transport sends a
-// request again only after a connection that took none of its bytes, provided that the request has no body, or has
-// GetBody, and is not one of those that net/http takes for idempotent; see SendOnce.
+// Do sends req and returns the response once its header has arrived. An error is backend.ErrUnreachable when no byte
+// of the request was sent and none can be sent later, and backend.ErrInterrupted otherwise. The transport resends a
+// request only if the previous connection accepted none of its bytes, provided that the request has no body, or has
+// GetBody, and is not one that net/http considers idempotent; see SendOnce.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
-	var used []use
+	var used []connUse
 	var current atomic.Pointer[conn]
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			wrapped := info.Conn.(*conn)
-			used = append(used, use{wrapped, wrapped.take()})
+			used = append(used, connUse{wrapped, wrapped.acquire()})
 			current.Store(wrapped)
 		},
 		PutIdleConn: func(error) { current.Load().release() },
@@ -151,18 +151,18 @@
 		}
 	}
 	if class == backend.ErrInterrupted && errors.Is(err, context.DeadlineExceeded) {
-		c.Renew(req.URL.Host)
+		c.RetireConns(req.URL.Host)
 	}
 	return nil, fmt.Errorf("%w: %w", class, err)
 }
 
-// use is a connection with the number of its writes before the request.
-type use struct {
+// connUse is a connection that a request acquired, with the number of writes on it before the request.
+type connUse struct {
 	conn   *conn
 	writes uint64
 }
 
-// conn counts writes, so that a failed request can be told from one that may have reached the server.
+// conn counts writes, which shows whether a failed request may have reached the server.
 type conn struct {
 	net.Conn
 	client *Client
@@ -171,8 +171,8 @@
 	mu      sync.Mutex
 	writes  uint64
 	sealed  bool
-	users   int  // can be 2 for a moment: the transport reports the release after it has offered the connection again
-	retired bool // to be closed after the request in progress
+	users   int  // may briefly be 2: the transport calls PutIdleConn after it has made the connection available again
+	retired bool // close the connection after the request in progress
 }
 
 // Write implements net.Conn.
@@ -193,9 +193,9 @@
 	return c.Conn.Close()
 }
 
-// take marks the connection as used by a request and returns the number of writes before it. The request fails before
-// its first byte when the connection is retired, and the transport takes another one.
-func (c *conn) take() uint64 {
+// acquire marks the connection as used by a request and returns the number of writes so far. On a retired connection
+// the request fails before its first byte, and the transport uses another connection.
+func (c *conn) acquire() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.users++
@@ -203,30 +203,30 @@
 	return c.writes
 }
 
-// release ends the use by a request.
+// release ends the use by a request and closes a retired connection that no other request uses.
 func (c *conn) release() {
 	c.mu.Lock()
 	c.users--
-	unused := c.users == 0 && c.retired
+	idle := c.users == 0 && c.retired
 	c.mu.Unlock()
-	if unused {
+	if idle {
 		_ = c.Close()
 	}
 }
 
-// retire closes the connection now or, while a request uses it, with the end of the request.
+// retire closes the connection now or, while a request uses it, when that request ends.
 func (c *conn) retire() {
 	c.mu.Lock()
 	c.retired = true
-	unused := c.users == 0
-	c.sealed = c.sealed || unused
+	idle := c.users == 0
+	c.sealed = c.sealed || idle
 	c.mu.Unlock()
-	if unused {
+	if idle {
 		_ = c.Close()
 	}
 }
 
-// seal prevents further writes. It returns false when a write has started since the count.
+// seal prevents further writes. It returns false, without effect, when a write has started since the count was writes.
 func (c *conn) seal(writes uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,9 +237,9 @@
 	return true
 }
 
-// SendOnce changes req so that net/http never sends it twice. The transport repeats a request on its own when a
-// reused connection fails without an answer and the method is GET, HEAD, OPTIONS or TRACE or the header has an
-// Idempotency-Key; it looks for that header under its canonical name only, and needs GetBody for a body.
+// SendOnce changes req so that net/http never sends it twice. The transport retries a request automatically when a
+// reused connection fails without a response and the method is GET, HEAD, OPTIONS or TRACE or the header has an
+// Idempotency-Key. It looks that header up under its canonical name only, and needs GetBody to resend a body.
 func SendOnce(req *http.Request) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if values, ok := req.Header[name]; ok {
@@ -261,7 +261,7 @@
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// emptyBody is an empty body that net/http does not know to be empty.
+// emptyBody is an empty body that net/http does not recognize as empty.
 type emptyBody struct{}
 
 // Read implements io.Reader.
@@ -270,8 +270,8 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// Drain reads the rest of a body and closes it, so that the connection can be used again. It closes the connection
-// instead when more than a few KiB remain.
+// Drain reads the rest of a body and closes it, so that the connection can be reused. When more than 4 KiB remain, the
+// connection is closed instead.
 func Drain(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, bufferBytes)
 	_ = body.Close()
--- a/internal/adapter/httpclient/httpclient_test.go
+++ b/internal/adapter/httpclient/httpclient_test.go
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// Guards against Renew closing a connection that a request has just taken from the idle ones, or letting a retired one
-// take a request that then counts as interrupted.
-func TestRenewNeverInterruptsRequests(t *testing.T) {
+// Guards against RetireConns closing a connection that a request has just taken from the idle pool, or letting a
+// retired connection accept a request that then counts as interrupted.
+func TestRetireConnsNeverInterruptsRequests(t *testing.T) {
 	client, server := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	defer server.Close()
 	defer client.Close()
@@ -50,7 +50,7 @@
 	var renewals, requests sync.WaitGroup
 	renewals.Go(func() {
 		for ctx.Err() == nil {
-			client.Renew(addr)
+			client.RetireConns(addr)
 		}
 	})
 	for range 4 {
@@ -66,7 +66,7 @@
 	renewals.Wait()
 }
 
-// Guards against a request that still leaves after Do has called it unsent, for example because its context ended
+// Guards against sending a request after Do has returned ErrUnreachable for it, for example because its context ended
 // between the choice of a connection and the first write.
 func TestUnsentRequestNeverLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 		}), network.Listen)
 		defer server.Close()
 		assert.NilError(t, server.Listen(addr))
-		sentAfterAll := 0
+		sentAfterError := 0
 		for range 500 {
 			ctx, cancel := context.WithCancel(t.Context())
 			client := New(Options{Dial: func(dialCtx context.Context, n, a string) (net.Conn, error) {
@@ -95,18 +95,18 @@
 			synctest.Wait()
 			mu.Lock()
 			if errors.Is(err, backend.ErrUnreachable) {
-				sentAfterAll += runs - before
+				sentAfterError += runs - before
 			}
 			mu.Unlock()
 			cancel()
 			client.Close()
 		}
-		assert.Equal(t, sentAfterAll, 0)
+		assert.Equal(t, sentAfterError, 0)
 	})
 }
 
-// Guards against entries of closed connections that stay for ever: a fleet has new addresses every day.
-func TestClosedConnectionsAreForgotten(t *testing.T) {
+// Guards against a leak of entries for closed connections: server addresses of a fleet change every day.
+func TestClosedConnectionsAreUntracked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := startServer(t, func(http.ResponseWriter, *http.Request) {})
 		defer server.Close()
@@ -119,34 +119,34 @@
 	})
 }
 
-// Guards against the rare interleavings that the tests above do not reach on every run.
+// Covers rare interleavings that the tests above do not reach on every run.
 func TestConnectionStates(t *testing.T) {
 	client := New(Options{})
 	open := func() (*conn, *bool) {
-		near, far := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, far) }()
+		local, remote := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, remote) }()
 		closed := new(bool)
-		return client.track(closeRecorder{near, closed}, addr), closed
+		return client.track(closeRecorder{local, closed}, addr), closed
 	}
 	write := func(c *conn) error {
 		_, err := c.Write([]byte("x"))
 		return err
 	}
-	t.Run("a sealed connection takes no write", func(t *testing.T) {
+	t.Run("a sealed connection accepts no write", func(t *testing.T) {
 		c, _ := open()
-		assert.Assert(t, c.seal(c.take()))
+		assert.Assert(t, c.seal(c.acquire()))
 		assert.ErrorIs(t, write(c), net.ErrClosed)
 	})
 	t.Run("a connection with a write is not sealed", func(t *testing.T) {
 		c, _ := open()
-		writes := c.take()
+		writes := c.acquire()
 		assert.NilError(t, write(c))
 		assert.Assert(t, !c.seal(writes))
 	})
-	t.Run("a late release does not free a connection that was taken again", func(t *testing.T) {
+	t.Run("a late release does not close a connection that was acquired again", func(t *testing.T) {
 		c, closed := open()
-		c.take()
-		c.take()
+		c.acquire()
+		c.acquire()
 		c.release()
 		c.retire()
 		assert.Assert(t, !*closed)
@@ -154,7 +154,7 @@
 		c.release()
 		assert.Assert(t, *closed)
 	})
-	t.Run("an idle connection that retires takes no write", func(t *testing.T) {
+	t.Run("an idle connection that is retired accepts no write", func(t *testing.T) {
 		c, closed := open()
 		c.retire()
 		assert.Assert(t, *closed)
--- a/internal/adapter/platformhttp/calls.go
+++ b/internal/adapter/platformhttp/calls.go
@@ -8,8 +8,8 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Table, Objects and the other views of a client implement one interface each. Table and Objects both have a
-// method Get, so one type cannot implement all.
+// Each of these types implements one interface of pkg/platform on a Client. One type could not implement all of them,
+// because Table and Objects both have a method Get.
 type (
 	// Table implements platform.Table.
 	Table struct{ c *Client }
@@ -34,28 +34,28 @@
 	_ platform.Weights      = Weights{}
 )
 
-// Table returns the table service.
+// Table returns a client of the table service.
 func (c *Client) Table() Table { return Table{c} }
 
-// Objects returns the object store.
+// Objects returns a client of the object store.
 func (c *Client) Objects() Objects { return Objects{c} }
 
-// Folder returns the operators' folder.
+// Folder returns a client of the operators' folder.
 func (c *Client) Folder() Folder { return Folder{c} }
 
-// Cloud returns the cloud API.
+// Cloud returns a client of the cloud API.
 func (c *Client) Cloud() Cloud { return Cloud{c} }
 
-// Instances returns the instance list.
+// Instances returns a client of the instance list.
 func (c *Client) Instances() Instances { return Instances{c} }
 
-// Weights returns the weight store.
+// Weights returns a client of the weight store.
 func (c *Client) Weights() Weights { return Weights{c} }
 
 // Get implements platform.Table.
 func (t Table) Get(ctx context.Context, table, key string) (platform.Row, error) {
 	var row api.Row
-	err := t.c.do(ctx, call{api.PathTableGet, reads, t.c.timeouts.Table}, api.RowKey{Table: table, Key: key}, &row)
+	err := t.c.do(ctx, call{api.PathTableGet, readOnly, t.c.timeouts.Table}, api.RowKey{Table: table, Key: key}, &row)
 	return platform.Row(row), err
 }
 
@@ -63,7 +63,7 @@
 func (t Table) List(ctx context.Context, table, prefix, after string, limit int) ([]platform.Row, error) {
 	var rows api.Rows
 	request := api.ListRequest{Table: table, Prefix: prefix, After: after, Limit: limit}
-	if err := t.c.do(ctx, call{api.PathTableList, reads, t.c.timeouts.Table}, request, &rows); err != nil {
+	if err := t.c.do(ctx, call{api.PathTableList, readOnly, t.c.timeouts.Table}, request, &rows); err != nil {
 		return nil, err
 	}
 	out := make([]platform.Row, 0, len(rows.Rows))
@@ -73,12 +73,12 @@
 	return out, nil
 }
 
-// Commit implements platform.Table. It is never retried: a repeat on the condition of the first write would
-// answer with a conflict where the first one succeeded.
+// Commit implements platform.Table. It is never retried: a retry under the condition of the first attempt would report
+// a conflict although the first attempt succeeded.
 func (t Table) Commit(ctx context.Context, mutations []platform.Mutation) ([]uint64, error) {
 	var response api.CommitResponse
 	request := api.CommitRequest{Mutations: api.ToMutations(mutations)}
-	if err := t.c.do(ctx, call{api.PathTableCommit, once, t.c.timeouts.Table}, request, &response); err != nil {
+	if err := t.c.do(ctx, call{api.PathTableCommit, nonIdempotent, t.c.timeouts.Table}, request, &response); err != nil {
 		return nil, err
 	}
 	if len(response.Versions) != len(mutations) {
@@ -87,16 +87,16 @@
 	return response.Versions, nil
 }
 
-// Put implements platform.Objects. Objects are immutable, so a repeat has no further effect.
+// Put implements platform.Objects. Objects are immutable, so a retry has no further effect.
 func (o Objects) Put(ctx context.Context, name string, data []byte) error {
 	request := api.Object{Name: name, Data: data}
-	return o.c.do(ctx, call{api.PathObjectPut, repeatable, o.c.timeouts.Object}, request, &api.Empty{})
+	return o.c.do(ctx, call{api.PathObjectPut, idempotent, o.c.timeouts.Object}, request, &api.Empty{})
 }
 
 // Get implements platform.Objects.
 func (o Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	var object api.Object
-	if err := o.c.do(ctx, call{api.PathObjectGet, reads, o.c.timeouts.Object}, api.Object{Name: name}, &object); err != nil {
+	if err := o.c.do(ctx, call{api.PathObjectGet, readOnly, o.c.timeouts.Object}, api.Object{Name: name}, &object); err != nil {
 		return nil, err
 	}
 	return object.Data, nil
@@ -105,33 +105,33 @@
 // Read implements platform.Folder.
 func (f Folder) Read(ctx context.Context) (platform.FolderState, error) {
 	var folder api.Folder
-	err := f.c.do(ctx, call{api.PathFolder, reads, f.c.timeouts.Folder}, api.Empty{}, &folder)
+	err := f.c.do(ctx, call{api.PathFolder, readOnly, f.c.timeouts.Folder}, api.Empty{}, &folder)
 	return platform.FolderState(folder), err
 }
 
-// Start implements platform.Cloud. The token makes a repeat return the same instance.
+// Start implements platform.Cloud. The request's token makes a retry return the same instance.
 func (o Cloud) Start(ctx context.Context, request platform.StartRequest) (platform.Instance, error) {
 	var instance platform.Instance
-	err := o.c.do(ctx, call{api.PathStart, repeatable, o.c.timeouts.Cloud}, request, &instance)
+	err := o.c.do(ctx, call{api.PathStart, idempotent, o.c.timeouts.Cloud}, request, &instance)
 	return instance, err
 }
 
 // Stop implements platform.Cloud.
 func (o Cloud) Stop(ctx context.Context, instance string) error {
 	request := api.InstanceID{Instance: instance}
-	return o.c.do(ctx, call{api.PathStop, repeatable, o.c.timeouts.Cloud}, request, &api.Empty{})
+	return o.c.do(ctx, call{api.PathStop, idempotent, o.c.timeouts.Cloud}, request, &api.Empty{})
 }
 
 // Prices implements platform.Cloud.
 func (o Cloud) Prices(ctx context.Context) ([]platform.Price, error) {
 	var prices api.Prices
-	err := o.c.do(ctx, call{api.PathPrices, reads, o.c.timeouts.List}, api.Empty{}, &prices)
+	err := o.c.do(ctx, call{api.PathPrices, readOnly, o.c.timeouts.List}, api.Empty{}, &prices)
 	return prices.Prices, err
 }
 
-// Notices implements platform.Cloud. The service waits a little less than the context's deadline, so that its
-// empty answer arrives in time; no notice is not an error. A failed poll is not retried here, because its
-// caller polls in a loop.
+// Notices implements platform.Cloud. The service is told to wait slightly less than the time left until the context's
+// deadline, so that an empty response arrives in time; having no notices is not an error. A failed poll is not retried
+// here, because the caller polls in a loop.
 func (o Cloud) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
 	wait := noticeWait
 	if deadline, ok := ctx.Deadline(); ok {
@@ -139,21 +139,21 @@
 	}
 	var notices api.Notices
 	request := api.NoticesRequest{After: after, WaitMillis: max(wait-min(noticeGrace, wait/4), 0).Milliseconds()}
-	err := o.c.poll(ctx, call{api.PathNotices, reads, wait + noticeGrace}, request, &notices)
+	err := o.c.poll(ctx, call{api.PathNotices, readOnly, wait + noticeGrace}, request, &notices)
 	return notices.Notices, err
 }
 
 // Instances implements platform.InstanceList.
 func (i Instances) Instances(ctx context.Context) ([]platform.Instance, error) {
 	var list api.Instances
-	err := i.c.do(ctx, call{api.PathInstances, reads, i.c.timeouts.List}, api.Empty{}, &list)
+	err := i.c.do(ctx, call{api.PathInstances, readOnly, i.c.timeouts.List}, api.Empty{}, &list)
 	return list.Instances, err
 }
 
-// Reserve implements platform.Weights. A repeat would use the rate twice, so it is never retried.
+// Reserve implements platform.Weights. A retry could reserve bandwidth twice, so it is never retried.
 func (w Weights) Reserve(ctx context.Context, model string, sizeMiB uint32) (time.Duration, error) {
 	var response api.ReserveResponse
 	request := api.ReserveRequest{Model: model, SizeMiB: sizeMiB}
-	err := w.c.do(ctx, call{api.PathReserve, once, w.c.timeouts.List}, request, &response)
+	err := w.c.do(ctx, call{api.PathReserve, nonIdempotent, w.c.timeouts.List}, request, &response)
 	return time.Duration(response.WaitMillis) * time.Millisecond, err
 }
--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -1,16 +1,15 @@
 // Package platformhttp implements the interfaces of pkg/platform over the platform's HTTP service.
 //
-// Errors. Each call ends in one of three ways, which the error class states exactly:
-//   - The service answered. Its answer states the class.
+// Errors. Each call ends in one of three ways, and the error class states exactly which:
+//   - The service responded. Its response states the class.
 //   - No byte of the request was written, because no connection could be opened: ErrUnavailable.
-//   - Anything else, such as a broken connection, a timeout or an answer of something between client and
-//     service: ErrOutcomeUnknown for calls that change state. A call that only reads has no effect, so it always
-//     fails with ErrUnavailable.
+//   - Anything else, such as a broken connection, a timeout or a response from an intermediary between client and
+//     service: ErrOutcomeUnknown for calls that change state. A read-only call has no effect, so it always fails with
+//     ErrUnavailable.
 //
-// Retries. Each call has a retry class. Reads and writes that may be repeated without further effect are retried
-// after a jittered delay, within a budget over all calls; a commit or a weight reservation never is, because
-// its caller decides what a repeat means. A timeout closes idle connections, since a silent connection is often
-// not the only one.
+// Retries. Each call has a retry class. Reads and idempotent writes are retried after a jittered delay, within a budget
+// shared by all calls. A commit or a weight reservation is never retried, because its caller decides what a retry
+// means. A timeout closes idle connections, since an unresponsive connection is often not the only one.
 package platformhttp
 
 import (
@@ -36,17 +35,17 @@
 
 // Options configure a Client.
 type Options struct {
-	// BaseURL is the address of the service, as http://IP:port.
+	// BaseURL is the URL of the service, as http://IP:port or https://IP:port.
 	BaseURL string
-	// Timeouts replaces the default time limits where its fields are not zero.
+	// Timeouts overrides the fields of DefaultTimeouts where its own are positive.
 	Timeouts Timeouts
-	// Transport is used instead of an own one when it is set.
+	// Transport replaces the client's own transport when it is set.
 	Transport *http.Transport
-	// Jitter returns a random number from 0 to 1; nil means the global random source.
+	// Jitter returns a random number in [0, 1); nil selects rand.Float64.
 	Jitter func() float64
 }
 
-// Timeouts limits one attempt of each kind of call. The caller's deadline may be shorter.
+// Timeouts bounds one attempt of each kind of call. The caller's deadline may be shorter.
 type Timeouts struct {
 	Dial   time.Duration
 	Table  time.Duration
@@ -56,8 +55,8 @@
 	List   time.Duration
 }
 
-// DefaultTimeouts are several times the time that a healthy service needs. Objects are up to 2 MiB; a start waits
-// for the cloud.
+// DefaultTimeouts are several times what a healthy service needs. Objects are up to 2 MiB; starting an instance waits
+// for the cloud provider.
 var DefaultTimeouts = Timeouts{
 	Dial:   500 * time.Millisecond,
 	Table:  time.Second,
@@ -68,31 +67,32 @@
 }
 
 const (
-	// maxAttempts counts all attempts of one call.
+	// maxAttempts bounds the attempts of one call, including the first.
 	maxAttempts = 3
-	// firstRetryDelay doubles with each retry.
-	firstRetryDelay = 20 * time.Millisecond
-	// budgetPerCall and budgetBurst limit retries to 10% of the calls, and 10 at once, so that an outage does
-	// not multiply the load on the service.
+	// initialRetryDelay is the mean delay before the first retry; it doubles with each further one.
+	initialRetryDelay = 20 * time.Millisecond
+	// budgetPerCall and budgetBurst limit retries to 10% of the calls plus a burst of 10, so that an outage does not
+	// multiply the load on the service.
 	budgetPerCall = 0.1
 	budgetBurst   = 10
 
 	maxIdleConnections = 32
 	idleTimeout        = 30 * time.Second
-	// noticeGrace is the time for the answer of a long poll to arrive after the service stopped waiting.
+	// noticeGrace is the time allowed for the response of a long poll to arrive after the service stopped waiting.
 	noticeGrace = 500 * time.Millisecond
-	// noticeWait is the wait of a long poll whose caller has no deadline.
+	// noticeWait is the wait time of a long poll whose caller has no deadline, and the maximum of all others.
 	noticeWait = 30 * time.Second
 )
 
-// Client is the connection to the service; its methods return one view for each interface of pkg/platform.
+// Client is a client of the service. It has one method for each interface of pkg/platform that returns an
+// implementation of it.
 type Client struct {
-	base     string
-	http     *http.Client
-	timeouts Timeouts
-	jitter   func() float64
-	budget   budget
-	retries  atomic.Uint64
+	base        string
+	http        *http.Client
+	timeouts    Timeouts
+	jitter      func() float64
+	retryBudget budget
+	retries     atomic.Uint64
 }
 
 // New returns a client. It opens no connection.
@@ -119,11 +119,11 @@
 		jitter = rand.Float64
 	}
 	return &Client{
-		base:     strings.TrimSuffix(o.BaseURL, "/"),
-		http:     &http.Client{Transport: transport},
-		timeouts: timeouts,
-		jitter:   jitter,
-		budget:   budget{tokens: budgetBurst},
+		base:        strings.TrimSuffix(o.BaseURL, "/"),
+		http:        &http.Client{Transport: transport},
+		timeouts:    timeouts,
+		jitter:      jitter,
+		retryBudget: budget{tokens: budgetBurst},
 	}, nil
 }
 
@@ -142,38 +142,38 @@
 	return t
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Retries returns the number of retries so far.
+// Retries returns the total number of retries.
 func (c *Client) Retries() uint64 { return c.retries.Load() }
 
-// effect says what a repeat of a call does.
-type effect int
+// retryClass states whether a call may be retried.
+type retryClass int
 
 const (
-	// reads has no effect: it is retried and never fails with ErrOutcomeUnknown.
-	reads effect = iota
-	// repeatable has the same effect once or several times: it is retried.
-	repeatable
-	// once is never retried.
-	once
+	// readOnly calls have no effect. They are retried and never fail with ErrOutcomeUnknown.
+	readOnly retryClass = iota
+	// idempotent calls have the same effect whether they run once or several times. They are retried.
+	idempotent
+	// nonIdempotent calls are never retried.
+	nonIdempotent
 )
 
-// call is one kind of call.
+// call describes one kind of call.
 type call struct {
 	path    string
-	effect  effect
+	class   retryClass
 	timeout time.Duration
 }
 
-// do runs a call with its retries.
+// do makes a call, with retries.
 func (c *Client) do(ctx context.Context, call call, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("platform: encode request: %w", err)
 	}
-	c.budget.add()
+	c.retryBudget.deposit()
 	unknown := false
 	for attempt := 1; ; attempt++ {
 		err := c.attempt(ctx, call, body, response)
@@ -182,14 +182,14 @@
 		}
 		// An earlier attempt may have had an effect even when the last one had none.
 		unknown = unknown || errors.Is(err, platform.ErrOutcomeUnknown)
-		if !c.mayRetry(ctx, call, attempt, err) {
-			return final(err, unknown)
+		if !c.awaitRetry(ctx, call, attempt, err) {
+			return finalError(err, unknown)
 		}
 		c.retries.Add(1)
 	}
 }
 
-// poll runs a call that only reads once, without a retry.
+// poll makes a read-only call without retries.
 func (c *Client) poll(ctx context.Context, call call, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -198,20 +198,20 @@
 	return c.attempt(ctx, call, body, response)
 }
 
-func final(err error, unknown bool) error {
+func finalError(err error, unknown bool) error {
 	if unknown && errors.Is(err, platform.ErrUnavailable) {
 		return fmt.Errorf("%w: an earlier attempt may have had an effect (%s)", platform.ErrOutcomeUnknown, err.Error())
 	}
 	return err
 }
 
-// mayRetry waits for the delay before a retry. It returns false when there must be none.
-func (c *Client) mayRetry(ctx context.Context, call call, attempt int, err error) bool {
+// awaitRetry reports whether to retry a call. Before it returns true, it waits for the retry delay.
+func (c *Client) awaitRetry(ctx context.Context, call call, attempt int, err error) bool {
 	transient := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrOutcomeUnknown)
-	if !transient || call.effect == once || attempt >= maxAttempts || ctx.Err() != nil || !c.budget.take() {
+	if !transient || call.class == nonIdempotent || attempt >= maxAttempts || ctx.Err() != nil || !c.retryBudget.withdraw() {
 		return false
 	}
-	delay := firstRetryDelay << (attempt - 1)
+	delay := initialRetryDelay << (attempt - 1)
 	timer := time.NewTimer(time.Duration(float64(delay) * (0.5 + c.jitter())))
 	defer timer.Stop()
 	select {
@@ -228,7 +228,7 @@
 	defer cancel()
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{
-		// The header goes out with or before the body, so nothing has left this process before this point.
+		// The header is sent with or before the body, so nothing has left this process before this point.
 		WroteHeaderField: func(string, []string) { sent.Store(true) },
 		WroteHeaders:     func() { sent.Store(true) },
 	}
@@ -237,39 +237,40 @@
 		return fmt.Errorf("platform: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := c.http.Do(request)
+	resp, err := c.http.Do(request)
 	if err != nil {
 		if ctx.Err() != nil {
 			c.http.CloseIdleConnections()
 		}
-		return call.broken(ctx, sent.Load(), err)
+		return call.transportError(ctx, sent.Load(), err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, api.MaxBodyBytes+1))
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(resp.Body, api.MaxBodyBytes+1))
 	if err != nil || len(data) > api.MaxBodyBytes {
-		return call.broken(ctx, true, errors.Join(err, errors.New("the answer is incomplete")))
+		return call.transportError(ctx, true, errors.Join(err, errors.New("response body is incomplete or too large")))
 	}
-	if answer.StatusCode != http.StatusOK {
-		return call.failed(answer.StatusCode, data)
+	if resp.StatusCode != http.StatusOK {
+		return call.serviceError(resp.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, response); err != nil {
-		return call.broken(ctx, true, err)
+		return call.transportError(ctx, true, err)
 	}
 	return nil
 }
 
-// broken classifies a call without an answer of the service. A context that ends during a call with an effect
-// gives ErrOutcomeUnknown in any case, as platform.Table documents.
-func (c call) broken(ctx context.Context, sent bool, err error) error {
+// transportError returns the error of a call without a response from the service. A context that ends during a call
+// that changes state always gives ErrOutcomeUnknown, as platform.Table documents.
+func (c call) transportError(ctx context.Context, sent bool, err error) error {
 	class := platform.ErrUnavailable
-	if c.effect != reads && (sent || ctx.Err() != nil) {
+	if c.class != readOnly && (sent || ctx.Err() != nil) {
 		class = platform.ErrOutcomeUnknown
 	}
 	return fmt.Errorf("%w: %s: %w", class, c.path, err)
 }
 
-// failed classifies a failure that the service states.
-func (c call) failed(status int, body []byte) error {
+// serviceError returns the error for a failure response. Without a known failure kind, the response does not come from
+// the service itself.
+func (c call) serviceError(status int, body []byte) error {
 	var failure api.Failure
 	if err := json.Unmarshal(body, &failure); err != nil {
 		failure.Kind = ""
@@ -287,25 +288,25 @@
 		return fmt.Errorf("platform: %s: %s", c.path, failure.Message)
 	}
 	class := platform.ErrOutcomeUnknown
-	if c.effect == reads {
+	if c.class == readOnly {
 		class = platform.ErrUnavailable
 	}
 	return fmt.Errorf("%w: %s: HTTP status %d", class, c.path, status)
 }
 
-// budget is a token bucket that calls fill and retries empty.
+// budget is a token bucket that calls fill and retries drain.
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-func (b *budget) add() {
+func (b *budget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+budgetPerCall, budgetBurst)
 }
 
-func (b *budget) take() bool {
+func (b *budget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -32,7 +32,7 @@
 	return client
 }
 
-func open(t *testing.T) (*Client, *standin.Platform) {
+func newPlatform(t *testing.T) (*Client, *standin.Platform) {
 	t.Helper()
 	p := standin.New(standin.Options{
 		Seed: 1,
@@ -48,23 +48,23 @@
 	return serve(t, p, Timeouts{}), p
 }
 
-// Guards against an adapter that changes what the platform answers.
+// Guards against an adapter that alters the platform's responses.
 func TestContract(t *testing.T) {
 	t.Run("table", func(t *testing.T) {
-		platformtest.Table(t, func(t *testing.T) platform.Table { c, _ := open(t); return c.Table() })
+		platformtest.Table(t, func(t *testing.T) platform.Table { c, _ := newPlatform(t); return c.Table() })
 	})
 	t.Run("objects", func(t *testing.T) {
-		platformtest.Objects(t, func(t *testing.T) platform.Objects { c, _ := open(t); return c.Objects() })
+		platformtest.Objects(t, func(t *testing.T) platform.Objects { c, _ := newPlatform(t); return c.Objects() })
 	})
 	t.Run("folder", func(t *testing.T) {
 		platformtest.Folder(t, func(t *testing.T) (platform.Folder, func(map[string][]byte)) {
-			c, p := open(t)
+			c, p := newPlatform(t)
 			return c.Folder(), func(files map[string][]byte) { p.Folder.(*standin.MemFolder).Edit(files) }
 		})
 	})
 	t.Run("cloud", func(t *testing.T) {
 		platformtest.Cloud(t, func(t *testing.T) platformtest.CloudSetup {
-			c, p := open(t)
+			c, p := newPlatform(t)
 			return platformtest.CloudSetup{
 				Cloud: c.Cloud(), List: c.Instances(),
 				Request:      platform.StartRequest{InstanceClass: "gpu", FailureDomain: "a"},
@@ -74,13 +74,13 @@
 		})
 	})
 	t.Run("weights", func(t *testing.T) {
-		platformtest.Weights(t, func(t *testing.T) platform.Weights { c, _ := open(t); return c.Weights() })
+		platformtest.Weights(t, func(t *testing.T) platform.Weights { c, _ := newPlatform(t); return c.Weights() })
 	})
 }
 
 var mutation = []platform.Mutation{{Table: "t", Key: "k", Value: []byte("v")}}
 
-// drop reads the request and closes the connection without an answer.
+// drop reads the request and closes the connection without a response.
 func drop(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
@@ -91,18 +91,18 @@
 	<-r.Context().Done()
 }
 
-func page(w http.ResponseWriter, _ *http.Request) {
+func errorPage(w http.ResponseWriter, _ *http.Request) {
 	http.Error(w, "unavailable", http.StatusServiceUnavailable)
 }
 
-func half(w http.ResponseWriter, _ *http.Request) {
+func truncatedBody(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, `{"versions": [1`)
 }
 
-// Guards against ErrUnavailable for a write that may have taken effect. Callers answer "not run" on it.
+// Guards against ErrUnavailable for a write that may have taken effect: callers then report that nothing ran.
 func TestErrorClasses(t *testing.T) {
-	for name, handler := range map[string]http.HandlerFunc{"drop": drop, "hang": hang, "page": page, "half": half} {
+	for name, handler := range map[string]http.HandlerFunc{"drop": drop, "hang": hang, "error page": errorPage, "truncated body": truncatedBody} {
 		t.Run(name, func(t *testing.T) {
 			var commits atomic.Int64
 			client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against ErrOutcomeUnknown, which costs callers a read-back, where nothing was sent or the service itself
-// states that it had no effect.
+// Guards against ErrOutcomeUnknown when nothing was sent or the service itself states that the write had no effect. It
+// would make callers read the row back.
 func TestNoEffect(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -132,16 +132,17 @@
 	_, err = client.Table().Commit(t.Context(), mutation)
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 
-	client, p := open(t)
+	client, p := newPlatform(t)
 	p.StoreOutage(table.Refusing)
 	_, err = client.Table().Commit(t.Context(), mutation)
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 	assert.Equal(t, p.Table.Counts().RowWrites, uint64(0))
 }
 
-// Guards against a lost answer that looks like a refusal, and a stand-in whose lost write has no effect.
-func TestLostAnswerOverHTTP(t *testing.T) {
-	client, p := open(t)
+// Guards against reporting a lost response as a refusal, and against a stand-in that does not perform a write whose
+// response is lost.
+func TestLostResponseOverHTTP(t *testing.T) {
+	client, p := newPlatform(t)
 	p.LostAnswers(100, true)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -153,7 +154,7 @@
 	assert.Equal(t, string(row.Value), "v")
 }
 
-// Guards against an outcome that is reported as "no effect" because only the last attempt of several was refused.
+// Guards against reporting "no effect" because the last attempt was refused, although an earlier one may have had one.
 func TestEarlierAttemptDecides(t *testing.T) {
 	var calls atomic.Int64
 	p := standin.New(standin.Options{})
@@ -167,8 +168,8 @@
 	assert.ErrorIs(t, client.Objects().Put(t.Context(), "o", nil), platform.ErrOutcomeUnknown)
 }
 
-// Guards against reads that fail on the first broken connection, and against retries that multiply the load of
-// an outage.
+// Guards against reads that fail on the first broken connection, and against retries that multiply the load during an
+// outage.
 func TestRetryBudget(t *testing.T) {
 	var calls atomic.Int64
 	p := standin.New(standin.Options{})
@@ -192,23 +193,23 @@
 	assert.Assert(t, retries >= 10 && retries <= 1+budgetBurst+reads*budgetPerCall, "%d retries", retries)
 }
 
-// Guards against a client that tries one silent connection after the other while new ones work.
+// Guards against a client that tries one unresponsive connection after another while new ones work.
 func TestSilentConnections(t *testing.T) {
 	const connections = 2
 	p := standin.New(standin.Options{})
-	var known sync.Map // remote addresses of the connections that go silent
-	var together sync.WaitGroup
-	together.Add(connections)
+	var silentConns sync.Map // remote addresses of the connections that stop responding
+	var barrier sync.WaitGroup
+	barrier.Add(connections)
 	var calls atomic.Int64
 	client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, silent := known.Load(r.RemoteAddr); silent {
+		if _, silent := silentConns.Load(r.RemoteAddr); silent {
 			hang(w, r)
 			return
 		}
 		if calls.Add(1) <= connections {
-			known.Store(r.RemoteAddr, true)
-			together.Done()
-			together.Wait()
+			silentConns.Store(r.RemoteAddr, true)
+			barrier.Done()
+			barrier.Wait()
 		}
 		p.ServeHTTP(w, r)
 	}), Timeouts{Table: 500 * time.Millisecond})
--- a/internal/adapter/servicehttp/servicehttp.go
+++ b/internal/adapter/servicehttp/servicehttp.go
@@ -1,4 +1,4 @@
-// Package servicehttp is the backend.Service for plain services over HTTP/1.1.
+// Package servicehttp implements backend.Service for plain services over HTTP/1.1.
 package servicehttp
 
 import (
@@ -22,25 +22,25 @@
 // DefaultLoadPath is the default of Options.LoadPath.
 const DefaultLoadPath = "/v1/load"
 
-// Options configure a Client. Zero values mean the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
-	// MaxAnswerBytes bounds the body of an answer.
+	// MaxAnswerBytes bounds the body of a response.
 	MaxAnswerBytes int64
-	// LoadPath is where services report their load.
+	// LoadPath is the path at which services report their load.
 	LoadPath string
 	HTTP     httpclient.Options
 }
 
 // Client implements backend.Service.
 type Client struct {
-	options Options
-	http    *httpclient.Client
-	single  *httpclient.Client // uses each connection once
+	options   Options
+	http      *httpclient.Client
+	singleUse *httpclient.Client // uses each connection for one request only
 }
 
 var _ backend.Service = (*Client)(nil)
 
-var errAnswerTooLarge = errors.New("servicehttp: answer is too large")
+var errResponseTooLarge = errors.New("servicehttp: response is too large")
 
 // New returns a client for all plain services.
 func New(o Options) *Client {
@@ -50,19 +50,20 @@
 	if o.LoadPath == "" {
 		o.LoadPath = DefaultLoadPath
 	}
-	single := o.HTTP
-	single.SingleUse = true
-	return &Client{o, httpclient.New(o.HTTP), httpclient.New(single)}
+	singleUse := o.HTTP
+	singleUse.SingleUse = true
+	return &Client{o, httpclient.New(o.HTTP), httpclient.New(singleUse)}
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.Close()
-	c.single.Close()
+	c.singleUse.Close()
 }
 
-// Call implements backend.Service. It sends the request at most once. When ctx ends after that, the error is both
-// backend.ErrInterrupted and that of ctx. Status 503 gives backend.ErrRefused; every other status is an answer.
+// Call implements backend.Service. It sends the request at most once. When ctx ends after that, the error wraps both
+// backend.ErrInterrupted and the error of ctx. Status 503 gives backend.ErrRefused; any other status is returned as a
+// response.
 func (c *Client) Call(ctx context.Context, addr string, call backend.CallRequest) (backend.CallResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+addr+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
@@ -76,7 +77,7 @@
 	httpclient.SendOnce(req)
 	client := c.http
 	if call.NewConnection {
-		client = c.single
+		client = c.singleUse
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -85,7 +86,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.options.MaxAnswerBytes+1))
 	if err == nil && int64(len(body)) > c.options.MaxAnswerBytes {
-		err = errAnswerTooLarge
+		err = errResponseTooLarge
 	}
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
@@ -112,13 +113,13 @@
 	return load, nil
 }
 
-// hopByHop are the headers that belong to one connection, from RFC 9110 section 7.6.1.
-var hopByHop = []string{
+// hopByHopHeaders apply to a single connection; see RFC 9110 section 7.6.1.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns a copy of h without the headers that belong to one connection.
+// endToEnd returns a copy of h without hop-by-hop headers.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -129,7 +130,7 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/adapter/servicehttp/servicehttp_test.go
+++ b/internal/adapter/servicehttp/servicehttp_test.go
@@ -37,7 +37,7 @@
 	return backend.CallRequest{Method: method, Path: "/bookings?day=3", Header: http.Header{"Idempotency-Key": {key}}, Body: []byte("deposit")}
 }
 
-// Guards against a key, body, path or connection header that is changed on the way.
+// Guards against changing the key, body or path of a call, or forwarding hop-by-hop headers.
 func TestCallReachesTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, s, stop := start(t, service.Options{})
@@ -63,8 +63,8 @@
 	})
 }
 
-// Guards against net/http, which repeats a request on its own when a reused connection ends without an answer and
-// the request has an Idempotency-Key or a method that it takes for idempotent. The call would run twice.
+// Guards against the automatic retries of net/http, which resends a request when a reused connection ends without a
+// response and the request has an Idempotency-Key or a method that it considers idempotent. The call would run twice.
 func TestCallIsNeverSentTwice(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodGet, http.MethodHead, http.MethodOptions} {
 		for _, body := range []string{"", "deposit"} {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Guards against ErrUnreachable for a call that ran, and against other classes for one that cannot have been sent:
-// with seeded drops and crashes, every call with ErrUnreachable or ErrRefused has no run, and none has two.
+// Guards against ErrUnreachable for a call that ran, and against other classes for a call that cannot have been sent.
+// Under seeded drops and crashes, no call that fails with ErrUnreachable or ErrRefused runs, and no call runs twice.
 func TestErrorClassMatchesTheRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, s, stop := start(t, service.Options{Seed: 5, DropBefore: 0.2, DropAfter: 0.2, Delay: 10 * time.Millisecond})
@@ -128,7 +128,8 @@
 	})
 }
 
-// Guards against a call that hangs on a frozen service past its deadline, or is called unsent although it may run.
+// Guards against a call that hangs past its deadline on a frozen service, or that is reported as unsent although it may
+// run.
 func TestFrozenService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, s, stop := start(t, service.Options{})
@@ -145,7 +146,7 @@
 	})
 }
 
-// Guards against a refusal that is taken for an answer.
+// Guards against returning a refusal as a response.
 func TestRefusedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, s, stop := start(t, service.Options{MaxRunning: 1, Delay: time.Second})
--- a/internal/adapter/wiring/wiring.go
+++ b/internal/adapter/wiring/wiring.go
@@ -1,5 +1,5 @@
-// Package wiring connects an entry node to the platform and the backend servers through the HTTP adapters. Another
-// adapter is put in here and nowhere else.
+// Package wiring connects an entry node to the platform and the backend servers through the HTTP adapters. It is
+// the only package that has to change to use other adapters.
 package wiring
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/pollenlug/pollenlug/internal/transport"
 )
 
-// NewNode builds an entry node that uses the HTTP adapters. The functions in change may change its options.
-func NewNode(settings *pb.NodeSettings, credentials *transport.Credentials, log *logrus.Entry, change ...func(*node.Options)) (*node.Node, error) {
+// NewNode returns an entry node that uses the HTTP adapters. The configure functions may modify its options.
+func NewNode(settings *pb.NodeSettings, credentials *transport.Credentials, log *logrus.Entry, configure ...func(*node.Options)) (*node.Node, error) {
 	client, err := platformhttp.New(platformhttp.Options{BaseURL: settings.PlatformUrl})
 	if err != nil {
 		return nil, err
@@ -34,7 +34,7 @@
 		Service:     servicehttp.New(servicehttp.Options{}),
 		Log:         log,
 	}
-	for _, fn := range change {
+	for _, fn := range configure {
 		fn(&opts)
 	}
 	return node.New(opts)
