--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -1,9 +1,9 @@
-// Package platformapi has the paths and messages of the platform's HTTP service. The adapter and the stand-in
+// Package platformapi defines the paths and messages of the platform's HTTP service. The adapter and the stand-in
 // share them.
 //
-// Every call is a POST with a JSON body; byte fields are base64. A failure has a Failure as its body. The kind of
-// the failure, not the HTTP status, tells whether the call had an effect: an answer without a known kind comes
-// from something between client and service, so its effect is unknown.
+// Every call is a POST with a JSON body; byte fields are base64. The response to a failed call has a Failure as its
+// body. The kind of the failure, not the HTTP status, states whether the call had an effect: a response without a known
+// kind comes from an intermediary between client and service, so the effect of the call is unknown.
 package platformapi
 
 import (
@@ -28,10 +28,10 @@
 	PathReserve     = "/v1/weights/reserve"
 )
 
-// MaxBodyBytes bounds a request or response body.
+// MaxBodyBytes is the maximum size of a request or response body.
 const MaxBodyBytes = 16 << 20
 
-// Kind is the kind of a failure.
+// Kind classifies a failure.
 type Kind string
 
 // Kinds of failures.
@@ -41,11 +41,11 @@
 	Unavailable    Kind = "unavailable"
 	OutcomeUnknown Kind = "outcome_unknown"
 	StartRefused   Kind = "start_refused"
-	// Invalid means that the request is malformed or breaks a rule; it had no effect and a repeat fails again.
+	// Invalid means that the request is malformed or violates a rule. It had no effect, and a retry would fail again.
 	Invalid Kind = "invalid"
 )
 
-// Status returns the HTTP status of a kind.
+// Status returns the HTTP status code for a kind.
 func (k Kind) Status() int {
 	switch k {
 	case NotFound:
@@ -64,27 +64,27 @@
 type Failure struct {
 	Kind    Kind   `json:"kind"`
 	Message string `json:"message,omitempty"`
-	// Failed has the indexes of the mutations whose condition does not hold; for Conflict.
+	// Failed lists the indexes of the mutations whose condition does not hold. It is set for Conflict only.
 	Failed []int `json:"failed,omitempty"`
 }
 
 // Empty is a request or response without content.
 type Empty struct{}
 
-// RowKey names a row.
+// RowKey identifies a row.
 type RowKey struct {
 	Table string `json:"table"`
 	Key   string `json:"key"`
 }
 
-// Row is one row.
+// Row is a row of a table.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
 }
 
-// ListRequest asks for rows in the order of their keys.
+// ListRequest requests rows in key order: up to Limit rows whose keys start with Prefix and are greater than After.
 type ListRequest struct {
 	Table  string `json:"table"`
 	Prefix string `json:"prefix,omitempty"`
@@ -92,7 +92,7 @@
 	Limit  int    `json:"limit"`
 }
 
-// Rows answers a ListRequest.
+// Rows is the response to a ListRequest.
 type Rows struct {
 	Rows []Row `json:"rows"`
 }
@@ -120,40 +120,40 @@
 	Mutations []Mutation `json:"mutations"`
 }
 
-// CommitResponse has the new row versions, in the order of the mutations.
+// CommitResponse contains the new row versions, in the order of the mutations.
 type CommitResponse struct {
 	Versions []uint64 `json:"versions"`
 }
 
-// Object is a named object; Data is empty in a request for it.
+// Object is a named object. Data is empty in a request to read the object.
 type Object struct {
 	Name string `json:"name"`
 	Data []byte `json:"data,omitempty"`
 }
 
-// Folder is the operators' folder.
+// Folder is the content of the operators' folder.
 type Folder struct {
 	Revision uint64            `json:"revision"`
 	Files    map[string][]byte `json:"files"`
 }
 
-// InstanceID names an instance.
+// InstanceID identifies an instance.
 type InstanceID struct {
 	Instance string `json:"instance"`
 }
 
-// Prices has the current prices.
+// Prices contains the current prices.
 type Prices struct {
 	Prices []platform.Price `json:"prices"`
 }
 
-// NoticesRequest asks for notices with a number greater than After; the service waits up to WaitMillis for one.
+// NoticesRequest requests notices with a number greater than After. The service waits up to WaitMillis for one.
 type NoticesRequest struct {
 	After      uint64 `json:"after"`
 	WaitMillis int64  `json:"wait_ms"`
 }
 
-// Notices answers a NoticesRequest.
+// Notices is the response to a NoticesRequest.
 type Notices struct {
 	Notices []platform.Notice `json:"notices"`
 }
@@ -163,13 +163,13 @@
 	Instances []platform.Instance `json:"instances"`
 }
 
-// ReserveRequest asks to load weights.
+// ReserveRequest requests permission to load a model's weights.
 type ReserveRequest struct {
 	Model   string `json:"model"`
 	SizeMiB uint32 `json:"size_mib"`
 }
 
-// ReserveResponse tells how long to wait before another try; 0 means that the load may start.
+// ReserveResponse states how many milliseconds to wait before the next attempt; 0 means that the load may start.
 type ReserveResponse struct {
 	WaitMillis int64 `json:"wait_ms"`
 }
