--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline names the log lines of a node that other programs read: what pollenlug explain takes a cause from.
-// docs/OPERATIONS.md describes all lines.
+// Package logline defines the messages and fields of a node's log lines that other programs read, in particular
+// pollenlug explain. docs/OPERATIONS.md describes all lines.
 package logline
 
 // Messages.
@@ -41,17 +41,18 @@
 	Took       = "ms"
 	Dependency = "dependency"
 	Count      = "count"
-	// Expected is the estimated time to the first event, Left the time that the caller left and Target the route's, in ms.
+	// Expected is the estimated time to the first event, Left the time until the caller's deadline and Target the
+	// route's latency target, in ms.
 	Expected = "expected_ms"
 	Left     = "left_ms"
 	Target   = "target_ms"
 )
 
-// Outcomes of requests that are no result codes.
+// Outcomes of requests in addition to the result codes.
 const (
 	Served = "served"
 	// BrokenOff is a stream that could not be completed.
 	BrokenOff = "broken_off"
-	// ServerFailed is a server's own error that was passed on.
+	// ServerFailed is an error response of a server that was passed to the caller.
 	ServerFailed = "server_failed"
 )
