--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -28,8 +28,8 @@
 	return log
 }
 
-// Guards against lines that are lost without a word, or read in the order of the files instead of that of time.
-func TestReadCountsGapsAndSorts(t *testing.T) {
+// Guards against missing lines that are not counted, and against lines sorted by file instead of by time.
+func TestReadCountsMissingLinesAndSorts(t *testing.T) {
 	log := sampleLog(t)
 	assert.Equal(t, log.Unreadable, 1)
 	assert.Equal(t, log.Dropped, 3)
@@ -37,20 +37,20 @@
 	assert.Equal(t, len(log.Lines), 9)
 }
 
-// Guards against a crash that is taken for a broken connection, and against evidence that is left out.
+// Guards against explaining a crash as a broken connection, and against missing evidence.
 func TestCrashOfTheServerIsTheCause(t *testing.T) {
 	a := sampleLog(t).Request("a")
 	assert.Equal(t, len(a), 1)
-	assert.Equal(t, a[0].Began.Format(timeLayout), "06:00:02.800")
+	assert.Equal(t, a[0].StartedAt.Format(timeLayout), "06:00:02.800")
 	assert.Assert(t, strings.Contains(a[0].Cause, "had crashed"), a[0].Cause)
-	assert.Equal(t, len(a[0].Evidence), 2, "the crash record, and the request of the other node that went on elsewhere")
+	assert.Equal(t, len(a[0].Evidence), 2, "the crash record, and the request on the other node that was retried on another server")
 	var out bytes.Buffer
 	assert.NilError(t, PrintRequest(&out, a))
 	assert.Assert(t, strings.Contains(out.String(), "06:00:03.000 n1 request attempt=a ms=200 outcome=outcome_unknown servers=i-1"), out.String())
 }
 
-// Guards against a refusal on arrival that does not show what the node lacked.
-func TestRefusalOnArrivalShowsWhatTheNodeBelieved(t *testing.T) {
+// Guards against explaining a refusal on arrival without the dependencies that the node had lost.
+func TestRefusalOnArrivalShowsNodeState(t *testing.T) {
 	a := sampleLog(t).Request("c")[0]
 	assert.Assert(t, strings.Contains(a.Cause, "no server was tried"), a.Cause)
 	assert.Equal(t, len(a.Evidence), 3)
@@ -58,7 +58,7 @@
 	assert.Equal(t, a.Evidence[2].Fields["dependency"], "store servers")
 }
 
-// Guards against a timeline that shows requests, or that leaves out its bounds.
+// Guards against a timeline that shows requests or excludes lines at its bounds.
 func TestTimeline(t *testing.T) {
 	log := sampleLog(t)
 	from, err := log.ParseTime("06:00:02")
@@ -72,8 +72,8 @@
 	assert.ErrorContains(t, err, "yesterday")
 }
 
-// Guards against a caller's own short time that is taken for load of the engines.
-func TestTooLittleTimeIsNotTooMuchWork(t *testing.T) {
+// Guards against attributing a caller's short deadline to overloaded engines.
+func TestShortDeadlineIsNotOverload(t *testing.T) {
 	log := sampleLog(t)
 	late, busy := log.Request("late")[0], log.Request("busy")[0]
 	assert.Assert(t, strings.Contains(late.Cause, "the caller left 20 ms"), late.Cause)
--- a/internal/explain/lines.go
+++ b/internal/explain/lines.go
@@ -1,5 +1,5 @@
-// Package explain finds the cause of a failed request, and what nodes believed at a time, in the log files of several
-// nodes.
+// Package explain determines the cause of a failed request, and the state of nodes at a given time, from the log files
+// of several nodes.
 package explain
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/pollenlug/pollenlug/internal/logline"
 )
 
-// maxLine bounds one line of a log, in bytes; longer ones are counted as unreadable.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line. Reading fails at a longer one.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a node's log.
+// Line is a parsed line of a node's log.
 type Line struct {
 	Time    time.Time      `json:"time"`
 	Node    string         `json:"node"`
@@ -28,16 +28,16 @@
 	Fields  map[string]any `json:"fields,omitempty"`
 }
 
-// Log is what the files of some nodes say, in the order of time.
+// Log holds the lines of several nodes' logs, sorted by time.
 type Log struct {
 	Lines []Line
-	// Unreadable counts lines that are not JSON with a time and a message.
+	// Unreadable counts lines that are not JSON objects with a time and a message.
 	Unreadable int
-	// Dropped counts the lines that nodes left out because their output was not read fast enough.
+	// Dropped counts the lines that nodes dropped because their output was not read fast enough.
 	Dropped int
 }
 
-// ReadFiles reads log files, and the files of directories whose names end in .log.
+// ReadFiles reads log files. For a directory it reads the files in it whose names end in .log.
 func ReadFiles(paths []string) (*Log, error) {
 	log := &Log{}
 	var files []string
@@ -70,7 +70,7 @@
 	return l.read(file)
 }
 
-// Read reads one log.
+// Read reads a single log.
 func Read(r io.Reader) (*Log, error) {
 	log := &Log{}
 	err := log.read(r)
@@ -80,14 +80,14 @@
 
 func (l *Log) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		switch {
 		case !ok:
 			l.Unreadable++
 		case line.Message == logline.Dropped:
-			l.Dropped += int(number(line.Fields[logline.Count]))
+			l.Dropped += int(fieldNumber(line.Fields[logline.Count]))
 		default:
 			l.Lines = append(l.Lines, line)
 		}
@@ -99,7 +99,7 @@
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// parse reads a line. Text before the first brace, such as the name of a machine, is passed over.
+// parse parses a line. It ignores text before the first brace, such as a host name.
 func parse(data []byte) (Line, bool) {
 	text := string(data)
 	start := strings.IndexByte(text, '{')
@@ -110,8 +110,8 @@
 	if json.Unmarshal([]byte(text[start:]), &fields) != nil {
 		return Line{}, false
 	}
-	line := Line{Fields: fields, Node: word(fields[logline.Node]), Message: word(fields[logline.Message])}
-	at, err := time.Parse(time.RFC3339Nano, word(fields[logline.Time]))
+	line := Line{Fields: fields, Node: fieldText(fields[logline.Node]), Message: fieldText(fields[logline.Message])}
+	at, err := time.Parse(time.RFC3339Nano, fieldText(fields[logline.Time]))
 	if line.Message == "" || (err != nil && line.Message != logline.Dropped) {
 		return Line{}, false
 	}
@@ -122,8 +122,8 @@
 	return line, true
 }
 
-// word returns a field that is text, number or boolean as text.
-func word(field any) string {
+// fieldText returns the text of a field that is a string, number or boolean.
+func fieldText(field any) string {
 	switch f := field.(type) {
 	case string:
 		return f
@@ -135,17 +135,17 @@
 	return ""
 }
 
-func number(field any) float64 {
-	f, _ := field.(float64) // a missing count is 0
+func fieldNumber(field any) float64 {
+	f, _ := field.(float64) // a missing number is 0
 	return f
 }
 
-// words returns the texts of a field that is a list.
-func words(field any) []string {
+// fieldList returns the texts of the items of a list field.
+func fieldList(field any) []string {
 	list, _ := field.([]any) // a missing list is empty
 	out := make([]string, 0, len(list))
 	for _, item := range list {
-		out = append(out, word(item))
+		out = append(out, fieldText(item))
 	}
 	return out
 }
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// timeLayout shows what tells two decisions apart; days are rarely in question.
+// timeLayout has milliseconds, to tell decisions apart, and no date, which is rarely in question.
 const timeLayout = "15:04:05.000"
 
-// PrintRequest writes the attempts as text.
+// PrintRequest writes the attempts with cause and evidence as text.
 func PrintRequest(w io.Writer, attempts []Attempt) error {
 	for _, a := range attempts {
-		text := fmt.Sprintf("%s to %s on %s: %s\ncause: %s\n", a.Began.Format(timeLayout), a.Time.Format(timeLayout), a.Node, a.Outcome, a.Cause)
+		text := fmt.Sprintf("%s to %s on %s: %s\ncause: %s\n", a.StartedAt.Format(timeLayout), a.Time.Format(timeLayout), a.Node, a.Outcome, a.Cause)
 		for _, line := range append([]Line{a.Line}, a.Evidence...) {
 			text += "  " + line.text() + "\n"
 		}
@@ -36,14 +36,14 @@
 	return nil
 }
 
-// text returns the line with its fields in the order of their names.
+// text returns the line with its fields sorted by name.
 func (l *Line) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.Time.Format(timeLayout), l.Node, l.Message)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
-		value := word(l.Fields[name])
+		value := fieldText(l.Fields[name])
 		if list, ok := l.Fields[name].([]any); ok {
-			value = strings.Join(words(list), ",")
+			value = strings.Join(fieldList(list), ",")
 		}
 		if value != "" {
 			fmt.Fprintf(&b, " %s=%s", name, value)
@@ -52,7 +52,8 @@
 	return b.String()
 }
 
-// ParseTime reads a time of the command line: complete, or only the time of day, which is then of the day of the log.
+// ParseTime parses a time argument: either a full RFC 3339 time or a time of day, which is taken on the date of the
+// log's first line. An empty text gives the zero time.
 func (l *Log) ParseTime(text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// around is how far from a request events of its servers are looked for; servers that crash miss several heartbeats
-	// before their rows vanish.
-	around = 15 * time.Second
-	// together is how close to each other failures on one server count as the same event.
-	together = time.Second
-	// ordersBefore is how far back orders of servers are shown for a refusal because of load.
-	ordersBefore = 20 * time.Second
+	// eventWindow is the maximum time between a request and events of its servers that are considered. It is long
+	// because a crashed server misses several heartbeats before its row vanishes.
+	eventWindow = 15 * time.Second
+	// sameEventWindow is the maximum time between failures on one server that count as the same event.
+	sameEventWindow = time.Second
+	// orderLookback is how far back server orders are shown for a refusal because of load.
+	orderLookback = 20 * time.Second
 )
 
-// Attempt is what became of one attempt of a request, and what the logs say about the cause.
+// Attempt is the outcome of one attempt of a request with its cause according to the logs.
 type Attempt struct {
 	Line
-	Began   time.Time `json:"began"`
-	Outcome string    `json:"outcome"`
-	// Cause is the conclusion in one sentence.
+	StartedAt time.Time `json:"began"`
+	Outcome   string    `json:"outcome"`
+	// Cause states the cause in one sentence.
 	Cause string `json:"cause"`
-	// Evidence are the lines that the conclusion rests on.
+	// Evidence holds the lines that support the cause.
 	Evidence []Line `json:"evidence,omitempty"`
 }
 
-// Request explains each attempt with the id. The result is empty when no node has logged one.
+// Request explains each attempt with the ID. The result is empty when no node has logged one.
 func (l *Log) Request(id string) []Attempt {
 	var out []Attempt
 	for _, line := range l.Lines {
-		if line.Message == logline.Request && word(line.Fields[logline.Attempt]) == id {
+		if line.Message == logline.Request && fieldText(line.Fields[logline.Attempt]) == id {
 			out = append(out, l.attempt(line))
 		}
 	}
@@ -44,45 +44,45 @@
 }
 
 func (l *Log) attempt(line Line) Attempt {
-	took := time.Duration(number(line.Fields[logline.Took])) * time.Millisecond
-	a := Attempt{Line: line, Began: line.Time.Add(-took), Outcome: word(line.Fields[logline.Outcome])}
-	servers := words(line.Fields[logline.Servers])
+	duration := time.Duration(fieldNumber(line.Fields[logline.Took])) * time.Millisecond
+	a := Attempt{Line: line, StartedAt: line.Time.Add(-duration), Outcome: fieldText(line.Fields[logline.Outcome])}
+	servers := fieldList(line.Fields[logline.Servers])
 	switch {
 	case a.Outcome == logline.Served:
 		a.Cause = "the request was served"
 	case a.Outcome == code.DeadlineUnreachable.String():
-		l.busy(&a)
+		l.explainOverload(&a)
 	case a.Outcome == code.NodeLeaving.String():
 		a.Cause = "the node was stopping and sent the caller to another one"
-		a.Evidence = l.between(a.Began.Add(-around), line.Time, func(x Line) bool {
+		a.Evidence = l.between(a.StartedAt.Add(-eventWindow), line.Time, func(x Line) bool {
 			return x.Node == line.Node && x.Message == logline.NodeDraining
 		})
 	case len(servers) == 0:
-		a.Cause = "refused on arrival, no server was tried: " + a.why()
-		a.Evidence = l.beliefs(line.Node, line.Time)
+		a.Cause = "refused on arrival, no server was tried: " + a.reason()
+		a.Evidence = l.nodeState(line.Node, line.Time)
 	default:
-		l.lastServer(&a, servers[len(servers)-1])
+		l.explainServerFailure(&a, servers[len(servers)-1])
 	}
 	return a
 }
 
-func (a *Attempt) why() string {
-	if why := word(a.Fields[logline.Why]); why != "" {
+func (a *Attempt) reason() string {
+	if why := fieldText(a.Fields[logline.Why]); why != "" {
 		return why
 	}
 	return a.Outcome
 }
 
-// busy explains a refusal because the first event was expected too late: too little time was left, or there was too much
-// work.
-func (l *Log) busy(a *Attempt) {
-	expected, left := number(a.Fields[logline.Expected]), number(a.Fields[logline.Left])
-	if target := number(a.Fields[logline.Target]); left > 0 && expected > left && expected <= target {
+// explainOverload explains a refusal because the first event was expected too late: either the caller left too little
+// time, or the engines were overloaded.
+func (l *Log) explainOverload(a *Attempt) {
+	expected, left := fieldNumber(a.Fields[logline.Expected]), fieldNumber(a.Fields[logline.Left])
+	if target := fieldNumber(a.Fields[logline.Target]); left > 0 && expected > left && expected <= target {
 		a.Cause = fmt.Sprintf("the caller left %.0f ms and the first event was expected after %.0f ms, within the route's target; "+
 			"too little time, not too much work; no server was tried", left, expected)
 		return
 	}
-	a.Evidence = l.between(a.Began.Add(-ordersBefore), a.Time, func(x Line) bool {
+	a.Evidence = l.between(a.StartedAt.Add(-orderLookback), a.Time, func(x Line) bool {
 		return x.Message == logline.ServersOrdered || x.Message == logline.OrderRefused
 	})
 	refused := 0
@@ -93,16 +93,16 @@
 	}
 	a.Cause = "the engines had more work than they could finish in time; no server was tried"
 	if refused > 0 {
-		a.Cause += fmt.Sprintf("; %d orders of more servers were refused in the %v before", refused, ordersBefore)
+		a.Cause += fmt.Sprintf("; %d orders of more servers were refused in the %v before", refused, orderLookback)
 	}
 }
 
-// lastServer explains a failure by what is known of the server that was tried last.
-func (l *Log) lastServer(a *Attempt, server string) {
-	a.Evidence = l.between(a.Began.Add(-around), a.Time.Add(around), func(x Line) bool {
+// explainServerFailure explains a failure by what the logs say about the last server tried.
+func (l *Log) explainServerFailure(a *Attempt, server string) {
+	a.Evidence = l.between(a.StartedAt.Add(-eventWindow), a.Time.Add(eventWindow), func(x Line) bool {
 		switch x.Message {
 		case logline.ServerChanged, logline.ServerGone:
-			return word(x.Fields[logline.Server]) == server
+			return fieldText(x.Fields[logline.Server]) == server
 		case logline.CrashRecord:
 			return namesCrashOf(x, server)
 		}
@@ -114,35 +114,35 @@
 	for _, x := range others {
 		nodes[x.Node] = true
 	}
-	what := fmt.Sprintf("server %s failed the request (%s)", server, a.why())
+	summary := fmt.Sprintf("server %s failed the request (%s)", server, a.reason())
 	switch {
 	case a.Outcome == code.CallerGone.String():
 		a.Cause = "the caller closed the connection while the request was on server " + server
 	case l.crashed(a.Evidence, server):
-		a.Cause = what + "; it refused connections or started anew, so it had crashed"
-	case l.gone(a.Evidence):
-		a.Cause = what + "; its row vanished from the store, so it was lost or reclaimed"
+		a.Cause = summary + "; it refused connections or restarted, so it had crashed"
+	case l.rowVanished(a.Evidence):
+		a.Cause = summary + "; its row vanished from the store, so it was lost or reclaimed"
 	case len(nodes) > 1 || (len(nodes) == 1 && !nodes[a.Node]):
 		a.Cause = fmt.Sprintf("%s; %d requests on %d nodes failed there within %v, so the server or its link broke, not this node",
-			what, len(others), len(nodes), together)
+			summary, len(others), len(nodes), sameEventWindow)
 	case len(others) > 0:
-		a.Cause = fmt.Sprintf("%s; %d more requests of this node failed there within %v", what, len(others), together)
+		a.Cause = fmt.Sprintf("%s; %d more requests of this node failed there within %v", summary, len(others), sameEventWindow)
 	default:
-		a.Cause = what + "; no other request failed there within " + together.String() + ", so this connection or request alone was hit"
+		a.Cause = summary + "; no other request failed there within " + sameEventWindow.String() + ", so only this connection or request was affected"
 	}
 }
 
 // failuresOn returns other requests that failed on a server at nearly the same time.
 func (l *Log) failuresOn(server string, a *Attempt) []Line {
-	return l.between(a.Time.Add(-together), a.Time.Add(together), func(x Line) bool {
-		if x.Message != logline.Request || word(x.Fields[logline.Attempt]) == word(a.Fields[logline.Attempt]) {
+	return l.between(a.Time.Add(-sameEventWindow), a.Time.Add(sameEventWindow), func(x Line) bool {
+		if x.Message != logline.Request || fieldText(x.Fields[logline.Attempt]) == fieldText(a.Fields[logline.Attempt]) {
 			return false
 		}
-		outcome, tried := word(x.Fields[logline.Outcome]), words(x.Fields[logline.Servers])
+		outcome, tried := fieldText(x.Fields[logline.Outcome]), fieldList(x.Fields[logline.Servers])
 		if len(tried) == 0 || outcome == code.CallerGone.String() {
 			return false
 		}
-		// A request that went on to another server has failed on those before.
+		// A request that was retried on other servers failed on all but the last one.
 		failed := tried
 		if outcome == logline.Served {
 			failed = tried[:len(tried)-1]
@@ -157,19 +157,20 @@
 	})
 }
 
-// namesCrashOf reports whether a record names a crash of the server, also one that the request was cleared of.
+// namesCrashOf reports whether a crash record names a crash of the server, including one whose strike was withdrawn
+// from the request.
 func namesCrashOf(x Line, server string) bool {
-	return slices.ContainsFunc(words(x.Fields[logline.Servers]), func(incident string) bool {
+	return slices.ContainsFunc(fieldList(x.Fields[logline.Servers]), func(incident string) bool {
 		return strike.ServerOf(incident) == server
 	})
 }
 
-func (l *Log) gone(evidence []Line) bool {
+func (l *Log) rowVanished(evidence []Line) bool {
 	return slices.ContainsFunc(evidence, func(x Line) bool { return x.Message == logline.ServerGone })
 }
 
-// beliefs returns the last configuration that a node had put into force and the dependencies it lacked.
-func (l *Log) beliefs(node string, at time.Time) []Line {
+// nodeState returns the last line about the configuration in force on a node and the lines about its lost dependencies.
+func (l *Log) nodeState(node string, at time.Time) []Line {
 	var config *Line
 	lost := map[string]Line{}
 	for i, x := range l.Lines {
@@ -183,9 +184,9 @@
 		case logline.ConfigInForce:
 			config = &l.Lines[i]
 		case logline.DependencyLost:
-			lost[word(x.Fields[logline.Dependency])] = x
+			lost[fieldText(x.Fields[logline.Dependency])] = x
 		case logline.DependencyBack:
-			delete(lost, word(x.Fields[logline.Dependency]))
+			delete(lost, fieldText(x.Fields[logline.Dependency]))
 		}
 	}
 	var out []Line
@@ -198,7 +199,7 @@
 	return out
 }
 
-// between returns the lines between two times that match.
+// between returns the matching lines between two times, inclusive.
 func (l *Log) between(from, to time.Time, match func(Line) bool) []Line {
 	var out []Line
 	for _, x := range l.Lines {
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -7,18 +7,20 @@
 	"github.com/pollenlug/pollenlug/internal/logline"
 )
 
-// beliefs are the messages of which a timeline consists: each changes what a node takes for true.
-var beliefMessages = []string{
+// timelineMessages are the messages that appear in a timeline. Each one marks a change of a node's state or of its view
+// of the system.
+var timelineMessages = []string{
 	logline.NodeStarted, logline.NodeDraining, logline.NodeStopped, logline.NodeHeard, logline.RequestsCutOff,
 	logline.ConfigInForce, logline.ConfigRowBroken, logline.ServerChanged, logline.ServerGone, logline.ServersInDoubt,
 	logline.CrashRecord, logline.DutiesAcquired, logline.DutiesEnded, logline.ServersOrdered, logline.OrderRefused,
 	logline.UsageReported, logline.DependencyLost, logline.DependencyBack,
 }
 
-// Timeline returns what changed in the beliefs of the nodes between two times. A zero time does not bound.
+// Timeline returns the lines between two times, inclusive, that mark a change of a node's state or of its view of the
+// system. A zero time means no bound.
 func (l *Log) Timeline(from, to time.Time) []Line {
 	if to.IsZero() && len(l.Lines) > 0 {
 		to = l.Lines[len(l.Lines)-1].Time
 	}
-	return l.between(from, to, func(x Line) bool { return slices.Contains(beliefMessages, x.Message) })
+	return l.between(from, to, func(x Line) bool { return slices.Contains(timelineMessages, x.Message) })
 }
