--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,7 +1,7 @@
-// Package logsink writes log lines without ever making a request wait.
+// Package logsink writes log lines without ever blocking a request.
 //
-// Lines go through a bounded queue to one writer. When the reader of the output is slower than the log, lines are
-// dropped and counted, and the count is written as a line of its own as soon as there is room.
+// Lines pass through a bounded queue to a single writer. When the output is read more slowly than lines are logged,
+// lines are dropped and counted, and the count is written as a separate line after the next line that is written.
 package logsink
 
 import (
@@ -14,9 +14,9 @@
 )
 
 const (
-	// queueLines bounds the lines in memory; a line has a few hundred bytes.
+	// queueLines bounds the lines held in memory; a line has a few hundred bytes.
 	queueLines = 2048
-	// flushWait bounds how long Close waits for a slow reader.
+	// flushWait bounds how long Close waits for a slow reader of the output.
 	flushWait = 300 * time.Millisecond
 )
 
@@ -28,7 +28,7 @@
 	done    chan struct{}
 }
 
-// New returns a Sink that writes to out.
+// New returns a Sink that writes to out until it is closed.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go s.run()
@@ -45,10 +45,10 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped and not reported yet.
+// Dropped returns the number of lines dropped but not yet reported in the output.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what is queued, within a short time. Writes after Close are not allowed.
+// Close writes the queued lines, waiting at most 300 ms. Write must not be called after Close.
 func (s *Sink) Close() {
 	close(s.lines)
 	select {
@@ -60,7 +60,7 @@
 func (s *Sink) run() {
 	defer close(s.done)
 	for line := range s.lines {
-		// An output that cannot be written to has no other place to report it.
+		// There is no other place to report that the output cannot be written to.
 		_, _ = s.out.Write(line)
 		if n := s.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(s.out, "{\"level\":\"warning\",\"msg\":%q,\"count\":%d}\n", logline.Dropped, n)
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -12,16 +12,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a reader of the log that has stopped and makes requests wait, and against lines lost without a word.
+// Guards against a stopped reader of the log that blocks requests, and against dropped lines that are not reported.
 func TestStoppedReaderNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	s := New(writer)
-	begin := time.Now()
+	start := time.Now()
 	for i := range 3 * queueLines {
 		_, err := fmt.Fprintf(s, "line %d\n", i)
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, time.Since(begin) < time.Second)
+	assert.Assert(t, time.Since(start) < time.Second)
 	dropped := s.Dropped()
 	assert.Assert(t, dropped >= queueLines)
 	var out bytes.Buffer
