--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics names the counters and timers of a node and writes them in the Prometheus text format.
+// Package metrics holds the counters, gauges and histograms of a node and writes them in the Prometheus text format.
 //
-// Each node has its own Set, so that several nodes in one process do not mix their figures.
+// Each node has its own Set, so that several nodes in one process do not share metrics.
 package metrics
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/pollenlug/pollenlug/pkg/code"
 )
 
-// sampleSize and sampleAlpha are the usual parameters of a forward-decaying reservoir: the quantiles follow
-// the last five minutes.
+// sampleSize and sampleAlpha are the usual parameters of a forward-decaying reservoir: the quantiles reflect
+// approximately the last five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -29,7 +29,7 @@
 	registry gometrics.Registry
 }
 
-// NewSet returns a Set with a counter for each result code, so that a dashboard sees zeros before the first refusal.
+// NewSet returns a Set with a refusal counter for each result code, so that dashboards show 0 before the first refusal.
 func NewSet() *Set {
 	s := &Set{registry: gometrics.NewRegistry()}
 	for _, info := range code.All() {
@@ -38,29 +38,29 @@
 	return s
 }
 
-// Refusal counts a refusal or failure by its code.
+// Refusal increments the refusal counter for a result code.
 func (s *Set) Refusal(c code.Code) { s.Count("refusals", "code", c.String(), 1) }
 
-// Retry counts a retry by its reason.
+// Retry increments the retry counter for a reason.
 func (s *Set) Retry(reason string) { s.Count("retries", "reason", reason, 1) }
 
-// Count adds n to the counter with one label.
+// Count adds n to a counter with one label.
 func (s *Set) Count(name, label, value string, n int64) { s.counter(name, label, value).Inc(n) }
 
-// Add adds n to the counter without labels.
+// Add adds n to a counter without labels.
 func (s *Set) Add(name string, n int64) {
 	gometrics.GetOrRegisterCounter("pollenlug_"+name+"_total", s.registry).Inc(n)
 }
 
-// Value returns a counter's value.
+// Value returns the value of a counter with one label.
 func (s *Set) Value(name, label, value string) int64 { return s.counter(name, label, value).Count() }
 
-// Gauge sets a gauge.
+// Gauge sets a gauge to value.
 func (s *Set) Gauge(name string, value int64) {
 	gometrics.GetOrRegisterGauge("pollenlug_"+name, s.registry).Update(value)
 }
 
-// Observe records a duration.
+// Observe records a duration in a histogram, which is written in seconds.
 func (s *Set) Observe(name string, d time.Duration) {
 	histogram := func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, sampleAlpha))
@@ -115,7 +115,7 @@
 	return append(lines, fmt.Sprintf("%s_count %d", name, h.Count()), fmt.Sprintf("%s_sum %g", name, sum))
 }
 
-// Snapshot returns the counters whose name has the prefix, without "pollenlug_".
+// Snapshot returns the counters whose names, without "pollenlug_", start with prefix.
 func (s *Set) Snapshot(prefix string) map[string]int64 {
 	out := map[string]int64{}
 	s.registry.Each(func(name string, metric any) {
