--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -80,7 +80,7 @@
 		}
 		return try{verdict: lost, reason: "answer_cut"}
 	}
-	answer.header = n.headers.Answer(answer.header)
+	answer.header = n.headers.ForwardResponse(answer.header)
 	if resp.StatusCode >= http.StatusInternalServerError && req.route.Repeat == serving.Repeatable {
 		if answer.rest == nil {
 			return try{verdict: failedByServer, reason: "server_error", answer: answer}
--- a/internal/edge/ports.go
+++ b/internal/edge/ports.go
@@ -15,8 +15,8 @@
 	// Forward returns the headers that a backend server gets.
 	Forward(caller http.Header, d serving.Dispatch) http.Header
 	Reply(resp *http.Response) serving.Reply
-	// Answer returns the headers of a server's answer that a caller gets.
-	Answer(server http.Header) http.Header
+	// ForwardResponse returns the headers of a server's answer that a caller gets.
+	ForwardResponse(server http.Header) http.Header
 	// Echo marks an answer of this system's own with the caller's attempt.
 	Echo(h http.Header, attempt string)
 }
--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -117,7 +117,7 @@
 	if err != nil || answer.rest != nil {
 		return try{verdict: lost, reason: "answer_cut"}
 	}
-	answer.header = s.n.headers.Answer(answer.header)
+	answer.header = s.n.headers.ForwardResponse(answer.header)
 	return try{verdict: failedByServer, reason: "server_error", answer: answer}
 }
 
@@ -168,7 +168,7 @@
 // start writes the header of the first server that has an event.
 func (s *streamRelay) start(resp *http.Response) {
 	header := s.req.w.Header()
-	for name, values := range s.n.headers.Answer(resp.Header) {
+	for name, values := range s.n.headers.ForwardResponse(resp.Header) {
 		header[name] = values
 	}
 	header.Del("Content-Length")
