--- a/internal/edge/refuse.go
+++ b/internal/edge/refuse.go
@@ -59,7 +59,7 @@
 	if !n.log.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Took: took.Milliseconds(), "config": n.config.Version()}
+	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Duration: took.Milliseconds(), "config": n.config.Version()}
 	if req.route != nil {
 		fields["route"] = req.route.Name
 	}
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -44,7 +44,7 @@
 }
 
 func (l *Log) attempt(line Line) Attempt {
-	duration := time.Duration(fieldNumber(line.Fields[logline.Took])) * time.Millisecond
+	duration := time.Duration(fieldNumber(line.Fields[logline.Duration])) * time.Millisecond
 	a := Attempt{Line: line, StartedAt: line.Time.Add(-duration), Outcome: fieldText(line.Fields[logline.Outcome])}
 	servers := fieldList(line.Fields[logline.Servers])
 	switch {
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -38,7 +38,7 @@
 	Why        = "why"
 	Servers    = "servers"
 	Server     = "server"
-	Took       = "ms"
+	Duration   = "ms"
 	Dependency = "dependency"
 	Count      = "count"
 	// Expected is the estimated time to the first event, Left the time until the caller's deadline and Target the
