--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -147,7 +147,7 @@
 	}
 	defer a.rest.Close()
 	if _, err := io.Copy(req.w, a.rest); err != nil {
-		req.outcome, req.note = logline.BrokenOff, err.Error()
+		req.outcome, req.note = logline.CutOff, err.Error()
 		n.abort(req)
 	}
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -229,7 +229,7 @@
 func (n *Node) giveUp(req *request, stream *streamRelay, kept *bufferedAnswer, refusal *code.Error) *code.Error {
 	if stream.started {
 		// The caller has part of the answer; only a broken connection tells that it is not complete.
-		req.outcome, req.note = logline.BrokenOff, refusal.Message
+		req.outcome, req.note = logline.CutOff, refusal.Message
 		n.metrics.Refusal(refusal.Code)
 		n.abort(req)
 		return nil
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -51,8 +51,8 @@
 // Outcomes of requests in addition to the result codes.
 const (
 	Served = "served"
-	// BrokenOff is a stream that could not be completed.
-	BrokenOff = "broken_off"
+	// CutOff is a stream that could not be completed.
+	CutOff = "broken_off"
 	// ServerFailed is an error response of a server that was passed to the caller.
 	ServerFailed = "server_failed"
 )
