--- a/internal/edge/serverview.go
+++ b/internal/edge/serverview.go
@@ -252,7 +252,7 @@
 	}
 	if until := v.returnedAt.Add(lapseGrace); e.server.State == serving.Ready && now.Before(until) {
 		e.goneAt, e.changedIn = until, version
-		v.log.WithField(logline.Server, key).Info(logline.ServersInDoubt)
+		v.log.WithField(logline.Server, key).Info(logline.ServerRowVanished)
 		return
 	}
 	v.log.WithField(logline.Server, key).Info(logline.ServerGone)
