--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -241,7 +241,7 @@
 		p.left(beat.Node, before.Started)
 	}
 	if returned {
-		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeHeard)
+		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeDiscovered)
 	}
 	p.heard(beat, now)
 }
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -23,7 +23,7 @@
 	ServerRowVanished = "row of a server vanished around an outage of the store; kept for a while"
 	UsageReported     = "usage reported"
 	RequestsCutOff    = "requests cut off at the end of the grace"
-	NodeHeard         = "node heard of"
+	NodeDiscovered    = "node heard of"
 	ConfigRowBroken   = "configuration row cannot be read; the one before stays in force"
 )
 
