--- a/internal/edge/refuse.go
+++ b/internal/edge/refuse.go
@@ -75,7 +75,7 @@
 		fields[logline.Target] = req.route.LatencyTarget.Milliseconds()
 	}
 	if req.note != "" {
-		fields[logline.Why] = req.note
+		fields[logline.Reason] = req.note
 	}
 	if req.workspace != nil {
 		fields["workspace"] = req.workspace.Name
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -67,7 +67,7 @@
 }
 
 func (a *Attempt) reason() string {
-	if why := fieldText(a.Fields[logline.Why]); why != "" {
+	if why := fieldText(a.Fields[logline.Reason]); why != "" {
 		return why
 	}
 	return a.Outcome
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -35,7 +35,7 @@
 	Level      = "level"
 	Attempt    = "attempt"
 	Outcome    = "outcome"
-	Why        = "why"
+	Reason     = "why"
 	Servers    = "servers"
 	Server     = "server"
 	Duration   = "ms"
