--- a/internal/edge/storeturn.go
+++ b/internal/edge/storeturn.go
@@ -142,7 +142,7 @@
 
 func (d *dependency) regained() {
 	if d.isLost() {
-		d.log.WithFields(logrus.Fields{logline.Dependency: d.name, "after": fmt.Sprint(time.Since(d.since))}).Info(logline.DependencyBack)
+		d.log.WithFields(logrus.Fields{logline.Dependency: d.name, "after": fmt.Sprint(time.Since(d.since))}).Info(logline.DependencyRegained)
 		d.lost.Add(-1)
 		d.since = time.Time{}
 	}
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -185,7 +185,7 @@
 			config = &l.Lines[i]
 		case logline.DependencyLost:
 			lost[fieldText(x.Fields[logline.Dependency])] = x
-		case logline.DependencyBack:
+		case logline.DependencyRegained:
 			delete(lost, fieldText(x.Fields[logline.Dependency]))
 		}
 	}
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -13,7 +13,7 @@
 	logline.NodeStarted, logline.NodeDraining, logline.NodeStopped, logline.NodeDiscovered, logline.RequestsCutOff,
 	logline.ConfigInForce, logline.ConfigRowBroken, logline.ServerChanged, logline.ServerGone, logline.ServerRowVanished,
 	logline.CrashRecord, logline.DutiesAcquired, logline.DutiesEnded, logline.ServersOrdered, logline.OrderRefused,
-	logline.UsageReported, logline.DependencyLost, logline.DependencyBack,
+	logline.UsageReported, logline.DependencyLost, logline.DependencyRegained,
 }
 
 // Timeline returns the lines between two times, inclusive, that mark a change of a node's state or of its view of the
