--- a/internal/edge/configview.go
+++ b/internal/edge/configview.go
@@ -90,6 +90,6 @@
 	}
 	if err != nil && v.badRow != row.Version {
 		v.badRow = row.Version
-		v.log.WithError(err).WithField("row_version", row.Version).Error(logline.ConfigRowBroken)
+		v.log.WithError(err).WithField("row_version", row.Version).Error(logline.ConfigRowUnreadable)
 	}
 }
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -11,7 +11,7 @@
 // of the system.
 var timelineMessages = []string{
 	logline.NodeStarted, logline.NodeDraining, logline.NodeStopped, logline.NodeDiscovered, logline.RequestsCutOff,
-	logline.ConfigInForce, logline.ConfigRowBroken, logline.ServerChanged, logline.ServerGone, logline.ServerRowVanished,
+	logline.ConfigInForce, logline.ConfigRowUnreadable, logline.ServerChanged, logline.ServerGone, logline.ServerRowVanished,
 	logline.CrashRecord, logline.DutiesAcquired, logline.DutiesEnded, logline.ServersOrdered, logline.OrderRefused,
 	logline.UsageReported, logline.DependencyLost, logline.DependencyRegained,
 }
