--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -239,7 +239,7 @@
 		groups[s.Service] = append(groups[s.Service], s.ID)
 	}
 	n.outliers.SetServers(groups)
-	n.log.WithField("servers", len(servers)).Info(logline.ServersInView)
+	n.log.WithField("servers", len(servers)).Info(logline.ServerViewChanged)
 }
 
 // retryWindow returns the budget of repeats to a service.
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -19,7 +19,7 @@
 	NodeStopped         = "node stopped"
 	DutiesAcquired      = "lease of the duties acquired"
 	DutiesEnded         = "lease of the duties ended"
-	ServersInView       = "view of backend servers changed"
+	ServerViewChanged   = "view of backend servers changed"
 	ServerRowVanished   = "row of a server vanished around an outage of the store; kept for a while"
 	UsageReported       = "usage reported"
 	RequestsCutOff      = "requests cut off at the end of the grace"
