--- a/internal/edge/explain_test.go
+++ b/internal/edge/explain_test.go
@@ -31,7 +31,7 @@
 	desk, engine := d.serve("desk-1", "desk", 0), d.serve("engine-1", "engine", 6)
 	one, two := d.node(), d.node()
 
-	desk.Behave(always(standin.Behavior{Lose: true}))
+	desk.SetBehavior(always(standin.Behavior{Lose: true}))
 	got := one.do(t, call{path: "/book/1", header: attemptHeader("booking")})
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	d.store.Delete("servers", "desk-1")
@@ -39,7 +39,7 @@
 		return strings.Contains(explained(t, d, "booking").Cause, "its row vanished")
 	})
 
-	engine.Behave(always(standin.Behavior{CutAfter: 2}))
+	engine.SetBehavior(always(standin.Behavior{CutAfter: 2}))
 	for _, c := range []struct {
 		n  *runningNode
 		id string
@@ -51,7 +51,7 @@
 	assert.Equal(t, cut.Outcome, "broken_off")
 	assert.Assert(t, strings.Contains(cut.Cause, "engine-1") && strings.Contains(cut.Cause, "not this node"), cut.Cause)
 
-	engine.Behave(always(standin.Behavior{}))
+	engine.SetBehavior(always(standin.Behavior{}))
 	header := attemptHeader("refused")
 	header["Pollenlug-Deadline-Ms"] = "20" // less than an idle engine needs
 	assert.Equal(t, one.do(t, call{path: "/draft/2", header: header}).status, http.StatusServiceUnavailable)
--- a/internal/edge/relay_test.go
+++ b/internal/edge/relay_test.go
@@ -49,7 +49,7 @@
 	a, b := d.serve("desk-1", "desk", 0), d.serve("desk-2", "desk", 0)
 	n := d.node()
 	for _, s := range []*standin.Server{a, b} {
-		s.Behave(always(standin.Behavior{Lose: true}))
+		s.SetBehavior(always(standin.Behavior{Lose: true}))
 	}
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		got := n.do(t, call{method: method, path: "/book/1", header: map[string]string{"Idempotency-Key": "k"}})
@@ -67,7 +67,7 @@
 	s := d.serve("desk-1", "desk", 0)
 	n := d.node()
 	assert.Equal(t, n.do(t, call{method: http.MethodGet, path: "/book/1"}).status, 200)
-	s.Behave(always(standin.Behavior{Lose: true}))
+	s.SetBehavior(always(standin.Behavior{Lose: true}))
 	got := n.do(t, call{method: http.MethodGet, path: "/book/2"})
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, len(s.Runs()), 2)
@@ -82,7 +82,7 @@
 			d := newDeployment(t)
 			d.configure()
 			bad := d.serve("desk-1", "desk", 0)
-			bad.Behave(always(b))
+			bad.SetBehavior(always(b))
 			good := d.serve("desk-2", "desk", 0)
 			n := d.node()
 			for range 8 {
@@ -101,7 +101,7 @@
 	d := newDeployment(t)
 	d.configure()
 	s := d.serve("desk-1", "desk", 0)
-	s.Behave(always(standin.Behavior{Echo: "another"}))
+	s.SetBehavior(always(standin.Behavior{Echo: "another"}))
 	n := d.node()
 	got := n.do(t, call{path: "/book/1"})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -115,7 +115,7 @@
 	d.configure()
 	s := d.serve("desk-1", "desk", 0)
 	n := d.node()
-	s.Behave(always(standin.Behavior{Reject: true}))
+	s.SetBehavior(always(standin.Behavior{Reject: true}))
 	got := n.do(t, call{path: "/book/1"})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -154,8 +154,8 @@
 				}
 				return standin.Behavior{}
 			}
-			one.Behave(breakFirst)
-			two.Behave(breakFirst)
+			one.SetBehavior(breakFirst)
+			two.SetBehavior(breakFirst)
 			got := n.do(t, call{path: "/quote/1"})
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.body, events(1, 9))
@@ -176,7 +176,7 @@
 	d := newDeployment(t)
 	d.configure()
 	bad := d.serve("engine-1", "engine", 9)
-	bad.Behave(always(standin.Behavior{Fail: true}))
+	bad.SetBehavior(always(standin.Behavior{Fail: true}))
 	good := d.serve("engine-2", "engine", 9)
 	n := d.node()
 	for range 6 {
@@ -194,7 +194,7 @@
 	d.retrySlack = 0
 	d.configure()
 	for _, id := range []string{"engine-1", "engine-2"} {
-		d.serve(id, "engine", 3).Behave(always(standin.Behavior{Gap: 1400 * time.Millisecond}))
+		d.serve(id, "engine", 3).SetBehavior(always(standin.Behavior{Gap: 1400 * time.Millisecond}))
 	}
 	n := d.node()
 	got := n.do(t, call{path: "/quote/1"})
@@ -209,8 +209,8 @@
 	d.configure()
 	one, two := d.serve("engine-1", "engine", 9), d.serve("engine-2", "engine", 9)
 	n := d.node()
-	one.Behave(always(standin.Behavior{CutAfter: 3}))
-	two.Behave(always(standin.Behavior{CutAfter: 3}))
+	one.SetBehavior(always(standin.Behavior{CutAfter: 3}))
+	two.SetBehavior(always(standin.Behavior{CutAfter: 3}))
 	got := n.do(t, call{path: "/draft/1"})
 	assert.Assert(t, got.err != nil, "the stream must not end as if it were complete")
 	assert.Assert(t, strings.HasPrefix(events(1, 3), got.body) || got.body == events(1, 3), got.body)
@@ -223,7 +223,7 @@
 	d := newDeployment(t)
 	d.configure()
 	s := d.serve("engine-1", "engine", 100)
-	s.Behave(always(standin.Behavior{Gap: 50 * time.Millisecond}))
+	s.SetBehavior(always(standin.Behavior{Gap: 50 * time.Millisecond}))
 	n := d.node()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -241,7 +241,7 @@
 	d.routes[0]["timeout_ms"] = 300
 	d.configure()
 	s := d.serve("desk-1", "desk", 0)
-	s.Behave(always(standin.Behavior{Gap: 3 * time.Second}))
+	s.SetBehavior(always(standin.Behavior{Gap: 3 * time.Second}))
 	n := d.node()
 	begin := time.Now()
 	got := n.do(t, call{path: "/book/1"})
--- a/internal/edge/views_test.go
+++ b/internal/edge/views_test.go
@@ -151,7 +151,7 @@
 	d.grace = 3 * time.Second
 	d.configure()
 	s := d.serve("engine-1", "engine", 10)
-	s.Behave(always(standin.Behavior{Gap: 100 * time.Millisecond}))
+	s.SetBehavior(always(standin.Behavior{Gap: 100 * time.Millisecond}))
 	one, two := d.node(), d.node()
 	eventually(t, 2*time.Second, "the nodes do not know each other", func() bool { return len(directory(t, two)) == 2 })
 	done := make(chan reply)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -154,14 +154,14 @@
 		{Gap: 300 * time.Millisecond}}[f.rng.IntN(8)]
 	share := 1 + f.rng.IntN(3)
 	var n atomic.Int64
-	s.Behave(func(*http.Request) standin.Behavior {
+	s.SetBehavior(func(*http.Request) standin.Behavior {
 		if n.Add(1)%int64(share) == 0 {
 			return b
 		}
 		return standin.Behavior{Gap: 10 * time.Millisecond}
 	})
 	f.later(d, func() {
-		s.Behave(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
+		s.SetBehavior(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
 	})
 }
 
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -104,7 +104,7 @@
 		n, service = 0, "desk"
 	}
 	s := standin.NewServer(fmt.Sprintf("%s-%d", service, len(w.servers)), n)
-	s.Behave(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
+	s.SetBehavior(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
 	w.t.Cleanup(s.Close)
 	p := newProxy(w.t, s.Addr())
 	w.servers, w.proxies = append(w.servers, s), append(w.proxies, p)
