--- a/internal/edge/views_test.go
+++ b/internal/edge/views_test.go
@@ -44,7 +44,7 @@
 	d.tenants = []map[string]any{{"name": "guild", "api_keys": []string{"key-1"}}}
 	d.configure() // an older version
 	d.store.PutRaw("op", "config", []byte("{broken"))
-	d.store.Forget()
+	d.store.DropHistory()
 	time.Sleep(300 * time.Millisecond)
 	assert.Equal(t, with("key-1"), http.StatusUnauthorized)
 	assert.Equal(t, with("key-2"), 200)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -123,7 +123,7 @@
 func (f *faults) storeFault(d time.Duration) {
 	f.w.store.SetFault([]standin.Fault{standin.Refuse, standin.Silent, standin.LoseAnswers}[f.rng.IntN(3)])
 	if f.rng.IntN(2) == 0 {
-		f.w.store.Forget()
+		f.w.store.DropHistory()
 	}
 	f.later(d, func() { f.w.store.SetFault(standin.NoFault) })
 }
