--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -121,7 +121,7 @@
 }
 
 func (f *faults) storeFault(d time.Duration) {
-	f.w.store.SetFault([]standin.Fault{standin.Refuse, standin.Silent, standin.LoseResponses}[f.rng.IntN(3)])
+	f.w.store.SetFault([]standin.Fault{standin.Refuse, standin.NoResponse, standin.LoseResponses}[f.rng.IntN(3)])
 	if f.rng.IntN(2) == 0 {
 		f.w.store.DropHistory()
 	}
