--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -133,7 +133,7 @@
 }
 
 func (d *deployment) startNode(seeds ...string) *runningNode {
-	addrs := ports.Take(6)
+	addrs := ports.Allocate(6)
 	s := &edge.Settings{Node: fmt.Sprintf("node-%02d", nodeCount.Add(1)), Region: "r", FailureDomain: "domain-a",
 		CallerAddr: addrs[0], ReadyAddr: addrs[1], DirectoryAddr: addrs[2], ControlAddr: addrs[3], PeerAddr: addrs[4], MetricsAddr: addrs[5],
 		MemoryBytes: 256 << 20, Descriptors: 1000, Cores: 1, HeartbeatInterval: 500 * time.Millisecond, DrainBound: 2 * time.Second,
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -122,7 +122,7 @@
 }
 
 func (w *world) addNode(i int, store, duties string) {
-	addrs := w.ports.Take(8)
+	addrs := w.ports.Allocate(8)
 	p := &process{name: fmt.Sprintf("node-%d", i), caller: addrs[0], ready: addrs[1], dir: addrs[3], storeProxy: newProxy(w.t, store),
 		settings: filepath.Join(w.t.TempDir(), fmt.Sprintf("node-%d.json", i))}
 	first := 0
