--- a/internal/adapter/enginehttp/enginehttp_test.go
+++ b/internal/adapter/enginehttp/enginehttp_test.go
@@ -137,7 +137,7 @@
 
 // Guards against a read timeout that takes effect late, ends a stream whose receiver is slow, or ignores the heartbeats
 // of a queued request.
-func TestSilenceLimit(t *testing.T) {
+func TestReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
 		defer rawServer(t, network, true, func(c net.Conn) {
--- a/internal/adapter/httpclient/httpclient.go
+++ b/internal/adapter/httpclient/httpclient.go
@@ -270,8 +270,8 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// Drain reads the rest of a body and closes it, so that the connection can be reused. When more than 4 KiB remain, the
-// connection is closed instead.
+// Drain reads the rest of a body and closes it, so that the connection can be reused. When more than bufferBytes
+// remain, the connection is closed instead.
 func Drain(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, bufferBytes)
 	_ = body.Close()
--- a/internal/adapter/httpclient/httpclient_test.go
+++ b/internal/adapter/httpclient/httpclient_test.go
@@ -68,7 +68,7 @@
 
 // Guards against sending a request after Do has returned ErrUnreachable for it, for example because its context ended
 // between the choice of a connection and the first write.
-func TestUnsentRequestNeverLeaves(t *testing.T) {
+func TestUnreachableRequestIsNeverSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := netfault.NewPipeNetwork()
 		var mu sync.Mutex
--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -194,7 +194,7 @@
 }
 
 // Guards against a client that tries one unresponsive connection after another while new ones work.
-func TestSilentConnections(t *testing.T) {
+func TestUnresponsiveConnections(t *testing.T) {
 	const connections = 2
 	p := standin.New(standin.Options{})
 	var silentConns sync.Map // remote addresses of the connections that stop responding
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -48,7 +48,7 @@
 // Dropped returns the number of lines dropped but not yet reported in the output.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes the queued lines, waiting at most 300 ms. Write must not be called after Close.
+// Close writes the queued lines, waiting at most flushWait. Write must not be called after Close.
 func (s *Sink) Close() {
 	close(s.lines)
 	select {
