--- a/internal/edge/configview.go
+++ b/internal/edge/configview.go
@@ -91,6 +91,6 @@
 	}
 	if err != nil && v.invalidRow != row.Version {
 		v.invalidRow = row.Version
-		v.log.WithError(err).WithField("row_version", row.Version).Error(logline.ConfigRowBroken)
+		v.log.WithError(err).WithField("row_version", row.Version).Error(logline.ConfigRowUnreadable)
 	}
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -244,7 +244,7 @@
 		groups[s.Service] = append(groups[s.Service], s.ID)
 	}
 	n.outliers.SetServers(groups)
-	n.log.WithField("servers", len(servers)).Info(logline.ServersInView)
+	n.log.WithField("servers", len(servers)).Info(logline.ServerViewChanged)
 }
 
 // retryWindow returns the retry budget of a service.
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -247,7 +247,7 @@
 		p.restarted(beat.Node, previous.Started)
 	}
 	if appeared {
-		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeHeard)
+		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeDiscovered)
 	}
 	p.received(beat, now)
 }
--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -147,7 +147,7 @@
 	}
 	defer response.rest.Close()
 	if _, err := io.Copy(req.w, response.rest); err != nil {
-		req.outcome, req.reason = logline.BrokenOff, err.Error()
+		req.outcome, req.reason = logline.CutOff, err.Error()
 		n.abort(req)
 	}
 }
--- a/internal/edge/refuse.go
+++ b/internal/edge/refuse.go
@@ -59,7 +59,7 @@
 	if !n.log.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Took: elapsed.Milliseconds(), "config": n.config.Version()}
+	fields := logrus.Fields{logline.Attempt: req.AttemptID, logline.Outcome: req.outcome, logline.Duration: elapsed.Milliseconds(), "config": n.config.Version()}
 	if req.route != nil {
 		fields["route"] = req.route.Name
 	}
@@ -75,7 +75,7 @@
 		fields[logline.Target] = req.route.LatencyTarget.Milliseconds()
 	}
 	if req.reason != "" {
-		fields[logline.Why] = req.reason
+		fields[logline.Reason] = req.reason
 	}
 	if req.workspace != nil {
 		fields["workspace"] = req.workspace.Name
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -237,7 +237,7 @@
 func (n *Node) giveUp(req *request, stream *streamRelay, failedResponse *bufferedResponse, refusal *code.Error) *code.Error {
 	if stream.headerSent {
 		// The caller has part of the response; only closing the connection shows that it is incomplete.
-		req.outcome, req.reason = logline.BrokenOff, refusal.Message
+		req.outcome, req.reason = logline.CutOff, refusal.Message
 		n.metrics.Refusal(refusal.Code)
 		n.abort(req)
 		return nil
--- a/internal/edge/serverview.go
+++ b/internal/edge/serverview.go
@@ -255,7 +255,7 @@
 	}
 	if until := v.storeRecoveredAt.Add(vanishedRowGrace); e.server.State == serving.Ready && now.Before(until) {
 		e.expiresAt, e.changedVersion = until, version
-		v.log.WithField(logline.Server, key).Info(logline.ServersInDoubt)
+		v.log.WithField(logline.Server, key).Info(logline.ServerRowVanished)
 		return
 	}
 	v.log.WithField(logline.Server, key).Info(logline.ServerGone)
--- a/internal/edge/storereaders.go
+++ b/internal/edge/storereaders.go
@@ -145,7 +145,7 @@
 
 func (d *dependency) markAvailable() {
 	if d.isLost() {
-		d.log.WithFields(logrus.Fields{logline.Dependency: d.name, "after": fmt.Sprint(time.Since(d.lostAt))}).Info(logline.DependencyBack)
+		d.log.WithFields(logrus.Fields{logline.Dependency: d.name, "after": fmt.Sprint(time.Since(d.lostAt))}).Info(logline.DependencyRegained)
 		d.lost.Add(-1)
 		d.lostAt = time.Time{}
 	}
--- a/internal/edge/views_test.go
+++ b/internal/edge/views_test.go
@@ -44,7 +44,7 @@
 	d.tenants = []map[string]any{{"name": "guild", "api_keys": []string{"key-1"}}}
 	d.configure() // an older version
 	d.store.PutRaw("op", "config", []byte("{broken"))
-	d.store.Forget()
+	d.store.DropHistory()
 	time.Sleep(300 * time.Millisecond)
 	assert.Equal(t, statusWithKey("key-1"), http.StatusUnauthorized)
 	assert.Equal(t, statusWithKey("key-2"), 200)
@@ -151,7 +151,7 @@
 	d.grace = 3 * time.Second
 	d.configure()
 	s := d.serve("engine-1", "engine", 10)
-	s.Behave(always(standin.Behavior{Gap: 100 * time.Millisecond}))
+	s.SetBehavior(always(standin.Behavior{Gap: 100 * time.Millisecond}))
 	one, two := d.node(), d.node()
 	eventually(t, 2*time.Second, "the nodes do not know each other", func() bool { return len(directory(t, two)) == 2 })
 	done := make(chan reply)
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,30 +1,30 @@
-// Package logline names the log lines of a node that other programs read: what pollenlug explain takes a cause from.
-// docs/OPERATIONS.md describes all lines.
+// Package logline defines the messages and fields of a node's log lines that other programs read, in particular
+// pollenlug explain. docs/OPERATIONS.md describes all lines.
 package logline
 
 // Messages.
 const (
-	Request         = "request"
-	Dropped         = "log lines dropped"
-	ServerChanged   = "server changed"
-	ServerGone      = "server gone"
-	CrashRecord     = "record of a request on crashed servers changed"
-	DependencyLost  = "dependency lost"
-	DependencyBack  = "dependency regained"
-	ConfigInForce   = "configuration in force"
-	ServersOrdered  = "servers ordered"
-	OrderRefused    = "order refused: no such servers now"
-	NodeStarted     = "node started"
-	NodeDraining    = "stop signal received; draining"
-	NodeStopped     = "node stopped"
-	DutiesAcquired  = "lease of the duties acquired"
-	DutiesEnded     = "lease of the duties ended"
-	ServersInView   = "view of backend servers changed"
-	ServersInDoubt  = "row of a server vanished around an outage of the store; kept for a while"
-	UsageReported   = "usage reported"
-	RequestsCutOff  = "requests cut off at the end of the grace"
-	NodeHeard       = "node heard of"
-	ConfigRowBroken = "configuration row cannot be read; the one before stays in force"
+	Request             = "request"
+	Dropped             = "log lines dropped"
+	ServerChanged       = "server changed"
+	ServerGone          = "server gone"
+	CrashRecord         = "record of a request on crashed servers changed"
+	DependencyLost      = "dependency lost"
+	DependencyRegained  = "dependency regained"
+	ConfigInForce       = "configuration in force"
+	ServersOrdered      = "servers ordered"
+	OrderRefused        = "order refused: no such servers now"
+	NodeStarted         = "node started"
+	NodeDraining        = "stop signal received; draining"
+	NodeStopped         = "node stopped"
+	DutiesAcquired      = "lease of the duties acquired"
+	DutiesEnded         = "lease of the duties ended"
+	ServerViewChanged   = "view of backend servers changed"
+	ServerRowVanished   = "row of a server vanished around an outage of the store; kept for a while"
+	UsageReported       = "usage reported"
+	RequestsCutOff      = "requests cut off at the end of the grace"
+	NodeDiscovered      = "node heard of"
+	ConfigRowUnreadable = "configuration row cannot be read; the one before stays in force"
 )
 
 // Fields.
@@ -35,23 +35,24 @@
 	Level      = "level"
 	Attempt    = "attempt"
 	Outcome    = "outcome"
-	Why        = "why"
+	Reason     = "why"
 	Servers    = "servers"
 	Server     = "server"
-	Took       = "ms"
+	Duration   = "ms"
 	Dependency = "dependency"
 	Count      = "count"
-	// Expected is the estimated time to the first event, Left the time that the caller left and Target the route's, in ms.
+	// Expected is the estimated time to the first event, Left the time until the caller's deadline and Target the
+	// route's latency target, in ms.
 	Expected = "expected_ms"
 	Left     = "left_ms"
 	Target   = "target_ms"
 )
 
-// Outcomes of requests that are no result codes.
+// Outcomes of requests in addition to the result codes.
 const (
 	Served = "served"
-	// BrokenOff is a stream that could not be completed.
-	BrokenOff = "broken_off"
-	// ServerFailed is a server's own error that was passed on.
+	// CutOff is a stream that could not be completed.
+	CutOff = "broken_off"
+	// ServerFailed is an error response of a server that was passed to the caller.
 	ServerFailed = "server_failed"
 )
