--- a/pkg/placement/admit.go
+++ b/pkg/placement/admit.go
@@ -16,8 +16,8 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// Verdict is the decision on a request before it is sent.
-type Verdict struct {
+// Decision is the result of Admit.
+type Decision struct {
 	Admit bool
 	// RetryAfter is the time after which a refused request would be admitted if no others arrived.
 	RetryAfter time.Duration
@@ -29,13 +29,13 @@
 // Load pattern: arrivals exceed the engines' prefill rate for longer than any queue can absorb. A request that will miss
 // its target anyway takes engine time from one that would meet it, until all are late. It is therefore refused at once,
 // before it has used any resources, with the time until the work ahead of it is done.
-func Admit(expected, target, remaining time.Duration, rank int) Verdict {
-	limit := time.Duration(float64(target) * max(minLateFactor, lateFactor-lateStep*float64(rank)))
+func Admit(expected, target, remaining time.Duration, priority int) Decision {
+	limit := time.Duration(float64(target) * max(minLateFactor, lateFactor-lateStep*float64(priority)))
 	if limit == 0 || remaining < limit {
 		limit = remaining
 	}
 	if expected <= limit {
-		return Verdict{Admit: true}
+		return Decision{Admit: true}
 	}
-	return Verdict{RetryAfter: min(max(expected-limit, minRetryAfter), maxRetryAfter)}
+	return Decision{RetryAfter: min(max(expected-limit, minRetryAfter), maxRetryAfter)}
 }
--- a/pkg/placement/engine.go
+++ b/pkg/placement/engine.go
@@ -127,8 +127,8 @@
 	return float64(sum)
 }
 
-// rendezvousServers returns the preferred servers of a prompt: the first in the rendezvous order of its last shared part.
-// All nodes compute the same order without communication, and a change of the fleet affects only the prompts of the
+// rendezvousServers returns the preferred servers of a prompt: the first in the rendezvous order of its last shared
+// part. All nodes compute the same order without communication, and a change of the fleet affects only the prompts of the
 // servers that changed.
 func rendezvousServers(prompt []serving.PromptPart, servers []*server) preferredServers {
 	var preferred preferredServers
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -124,8 +124,8 @@
 	delete(b.peers, node)
 }
 
-// OwnLoads returns this node's loads by server id, to be reported to its peers. Servers without requests in flight or recent
-// failures are left out.
+// OwnLoads returns this node's loads by server id, to be reported to its peers. Servers without requests in flight or
+// recent failures are left out.
 func (b *Board) OwnLoads(now time.Time) map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,7 +161,7 @@
 // Ticket is one request in flight on a server. Its methods may be called from several goroutines.
 type Ticket struct {
 	Server serving.Server
-	// Expected is the estimated time to the first event of an engine or to the answer of a plain server.
+	// Expected is the estimated time to the first event of an engine or to the response of a plain server.
 	Expected time.Duration
 
 	board         *Board
@@ -197,7 +197,7 @@
 type Outcome uint8
 
 const (
-	// Served means that the server returned a complete answer.
+	// Served means that the server returned a complete response.
 	Served Outcome = iota
 	// Refused means that the server was at capacity.
 	Refused
--- a/pkg/placement/plain.go
+++ b/pkg/placement/plain.go
@@ -10,7 +10,7 @@
 	// defaultPlainLatency is the assumed duration of a plain request on a server without results yet.
 	defaultPlainLatency = 50 * time.Millisecond
 	// failurePenalty is added for each recent failure of a server: a request to a failing server costs the caller its
-	// answer or a retry, which takes several times as long as a usual answer.
+	// response or a retry, which takes several times as long as a usual response.
 	failurePenalty = 150 * time.Millisecond
 	// domainPenalty accounts for the price and latency of traffic to another failure domain; it only breaks ties.
 	domainPenalty = time.Millisecond
@@ -73,7 +73,7 @@
 
 // Utilization returns the fraction of the slots of a service's ready servers that is in use, and the number of these
 // servers. The fraction may exceed 1; it is 0 when there are no slots.
-func (b *Board) Utilization(service string, now time.Time) (taken float64, servers int) {
+func (b *Board) Utilization(service string, now time.Time) (utilization float64, servers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	running, slots := 0.0, 0
--- a/pkg/placement/unseen.go
+++ b/pkg/placement/unseen.go
@@ -16,8 +16,8 @@
 	minSample = 3
 )
 
-// SetUnreported sets the average number of requests that the other nodes send to one server of a service before they report
-// them to this node.
+// SetUnreported sets the average number of requests that the other nodes send to one server of a service before they
+// report them to this node.
 //
 // Load pattern: many nodes choose by the same loads, which are as old as the interval between their messages. If they
 // all chose the server with the lowest load, its queue would fill up while others are idle. A node therefore compares
