--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -52,9 +52,9 @@
 type Request struct {
 	Workspace string
 	Priority  uint32
-	// Tokens is the estimated number of prompt and answer tokens.
+	// Tokens is the estimated number of prompt and output tokens.
 	Tokens uint32
-	// Deadline is when the answer must be complete; zero means none.
+	// Deadline is when the response must be complete; zero means none.
 	Deadline time.Time
 }
 
--- a/pkg/limit/outliers.go
+++ b/pkg/limit/outliers.go
@@ -34,7 +34,7 @@
 	failureRateDecay = 0.95
 	ejectionTime     = 5 * time.Second
 	maxEjectionTime  = 60 * time.Second
-	probeTimeout     = 10 * time.Second // after which a probe without a result may be repeated
+	probeTimeout     = 10 * time.Second // after which another probe replaces one without a result
 	probesToRecover  = 3                // consecutive successful probes after which a server is readmitted
 	successesToReset = 100              // consecutive successes after which earlier ejections no longer lengthen the next
 )
--- a/pkg/limit/queue.go
+++ b/pkg/limit/queue.go
@@ -181,7 +181,8 @@
 }
 
 // checkWait returns a refusal if a request must not wait, because it would miss its deadline or the workspace's part of
-// the queue is full. If the queue is full, a higher priority displaces the waiting request that is last in the order.
+// the queue is full. If that part is full, the request displaces the workspace's last waiting request in the order if its
+// priority is higher.
 func (q *fairQueue) checkWait(w *workspace, item *waiter, now time.Time) *code.Error {
 	ahead := 0
 	for _, other := range w.queued.waiters {
--- a/pkg/limit/servers.go
+++ b/pkg/limit/servers.go
@@ -33,7 +33,8 @@
 	// limitStep is the fraction of the distance to the next limit that one round of requests, as many as the limit,
 	// covers. Larger steps oscillate, since latency shows the effect of a limit only one round later.
 	limitStep = 0.3
-	// latencyTolerance is the ratio of current to lowest latency above which the limit falls: batching costs some latency.
+	// latencyTolerance is the ratio of current to lowest latency above which the gradient is less than 1 and lowers the
+	// limit: batching costs some latency.
 	latencyTolerance = 2.0
 	minLatencyPeriod = 30 * time.Second
 	cutFactor        = 0.8
@@ -97,7 +98,7 @@
 }
 
 // Observe adapts the limit to the time to first token of a request in flight. It must be called at the first token and
-// not at the end of the answer, which for a long answer comes a hundred times later.
+// not at the end of the response, which for a long response comes a hundred times later.
 func (l *ServerLimits) Observe(server string, latency time.Duration) {
 	s, target := l.get(server)
 	now := l.now()
