--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -20,9 +20,10 @@
 )
 
 const (
-	// silentAfter is the time without a report after which a node is charged an equal share; several exchanges of totals.
-	silentAfter = 1500 * time.Millisecond
-	// dropAfter is how long a silent node is charged. By then its process has ended, and so have its requests.
+	// unresponsiveAfter is the time without a report after which a node is charged an equal share; several exchanges of
+	// totals.
+	unresponsiveAfter = 1500 * time.Millisecond
+	// dropAfter is how long an unresponsive node is charged. By then its process has ended, and so have its requests.
 	dropAfter = 20 * time.Second
 	// initialLevelFraction is the initial level of a bucket as a fraction of the burst, well under a tenth of what a
 	// window of several seconds admits.
@@ -121,7 +122,7 @@
 		return 0, true
 	}
 	k.refill(now)
-	b.chargeSilent(now)
+	b.chargeUnresponsive(now)
 	level := k.level - b.unreported(workspace, now)
 	if k.admitted > max(fairShareFactor*level/float64(len(b.peers)+1), growthFactor*k.admittedBefore) {
 		return minRetry, false
@@ -142,7 +143,7 @@
 func (b *Buckets) unreported(workspace string, now time.Time) float64 {
 	sum := 0.0
 	for _, p := range b.peers {
-		if since := now.Sub(p.reportedAt); since < silentAfter {
+		if since := now.Sub(p.reportedAt); since < unresponsiveAfter {
 			sum += p.rates[workspace] * since.Seconds()
 		}
 	}
@@ -212,20 +213,20 @@
 	delete(b.peers, node)
 }
 
-// chargeSilent charges an equal share of each limit for every node whose reports are missing.
-func (b *Buckets) chargeSilent(now time.Time) {
+// chargeUnresponsive charges an equal share of each limit for every node whose reports are missing.
+func (b *Buckets) chargeUnresponsive(now time.Time) {
 	nodes := float64(len(b.peers) + 1)
 	for name, p := range b.peers {
-		silent := now.Sub(p.reportedAt)
-		if silent > dropAfter {
+		sinceReport := now.Sub(p.reportedAt)
+		if sinceReport > dropAfter {
 			delete(b.peers, name)
 			continue
 		}
-		if silent < silentAfter {
+		if sinceReport < unresponsiveAfter {
 			continue
 		}
 		for workspace, k := range b.buckets {
-			due := k.Rate / nodes * silent.Seconds()
+			due := k.Rate / nodes * sinceReport.Seconds()
 			if more := due - p.charged[workspace]; more > 0 {
 				k.level -= more
 				p.charged[workspace] = due
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -48,7 +48,7 @@
 	c.window(c.self, c.WindowNumber(at))[workspace]++
 }
 
-// Merge merges the counts of another node.
+// Merge merges the counts of another node: of two counts the higher one is kept.
 func (c *Counter) Merge(node string, windows []Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
