--- a/pkg/elastic/elastic.go
+++ b/pkg/elastic/elastic.go
@@ -1,13 +1,14 @@
 // Package elastic plans how many servers of a service run in each failure domain, of two kinds: reclaimable servers,
-// which the platform may take away, and lasting (on-demand) ones, which it does not.
+// which the platform may take away, and on-demand ones, which it does not.
 //
-// Load pattern: reclaimable servers cost a fraction of the price of lasting ones, but all in a failure domain are
+// Load pattern: reclaimable servers cost a fraction of the price of on-demand ones, but all in a failure domain are
 // reclaimed at once with two or three seconds of notice, several domains follow each other, and for a while none are
-// available anywhere. A fixed number is wrong on most days: too few lasting servers lose requests during a reclaim, too
-// many cost as much as reclaimable ones save. The plan keeps more reclaimable servers than the load needs, spread so that
-// enough remain after the loss of a domain, and orders lasting ones for the shortfall as soon as a notice arrives.
+// available anywhere. A fixed number is wrong on most days: with too few on-demand servers requests are lost during a
+// reclaim, and too many cost as much as reclaimable ones save. The plan keeps more reclaimable servers than the load
+// needs, spread so that enough remain after the loss of a domain, and orders on-demand ones for the shortfall as soon as
+// a notice arrives.
 //
-// Plan is a pure function of its input; the node that holds the "duties" lease calls it about once a second.
+// Plan is a pure function of its input; the duty holder calls it about once a second.
 package elastic
 
 import (
@@ -29,7 +30,7 @@
 type Domain struct {
 	Name  string
 	Price float64
-	// Reclaimable and Lasting are the numbers of servers of each kind that serve and are not leaving.
+	// Reclaimable and Lasting are the numbers of reclaimable and on-demand servers that serve and are not leaving.
 	Reclaimable, Lasting int
 	// Refused is set if reclaimable servers were recently refused here, Accepted if the last order of some was accepted.
 	Refused, Accepted bool
@@ -54,21 +55,21 @@
 	// peakUtilization is the planned utilization of servers at the peak load. Above it, bursts of long prompts delay the
 	// first events of all other requests. Reclaimable servers, at about a sixth of the price, follow the peak.
 	peakUtilization = 0.6
-	// meanUtilization is the planned utilization at the mean load, which the expensive lasting servers follow.
+	// meanUtilization is the planned utilization at the mean load, which the expensive on-demand servers follow.
 	meanUtilization = 0.7
 	// lossUtilization is the planned utilization right after the loss of a domain while reclaimable servers are refused.
 	lossUtilization = 0.9
 	// reclaimableFactor is the number of reclaimable servers that are kept for each one needed: having enough left after
-	// the loss of two domains out of four costs less than ordering lasting servers in their place.
+	// the loss of two domains out of four costs less than ordering on-demand servers in their place.
 	reclaimableFactor = 1.7
-	// unknownLoadFactor is the factor by which the peak is planned above Initial while the load is not known: callers
-	// arrive all at once, and none of their prompts are cached.
+	// unknownLoadFactor is the planned peak as a multiple of Initial while the load is not known: callers arrive all at
+	// once, and none of their prompts are cached.
 	unknownLoadFactor = 1.2
 	// minServers is the number of servers of a service that are needed whatever its load.
 	minServers = 6
-	// idleLasting is the number of lasting servers of a domain that are kept for the first requests while reclaimable
+	// idleOnDemand is the number of on-demand servers of a domain that are kept for the first requests while reclaimable
 	// ones boot there.
-	idleLasting = 2
+	idleOnDemand = 2
 )
 
 // Needed returns the number of needed servers for which a plan keeps the given number of reclaimable ones.
@@ -76,7 +77,7 @@
 	return int(math.Round(float64(reclaimable) / reclaimableFactor))
 }
 
-// Counts holds the planned numbers of servers of a domain.
+// Counts holds the planned numbers of reclaimable and on-demand (Lasting) servers of a domain.
 type Counts struct {
 	Reclaimable, Lasting int
 }
@@ -102,25 +103,26 @@
 	}
 	shortfall := needed - remaining
 	if scarce && in.Known {
-		// The next domain may be reclaimed before a lasting server has booted, and its servers cannot be replaced.
+		// The next domain may be reclaimed before an on-demand server has booted, and its servers cannot be replaced.
 		shortfall = max(shortfall, int(math.Ceil(in.Load/lossUtilization))-(remaining-largest))
 	}
 	if in.Idle && !in.Known && shortfall > 0 {
 		planIdle(in, plan)
 		return plan
 	}
-	planLasting(in, shortfall, plan)
+	planOnDemand(in, shortfall, plan)
 	return plan
 }
 
-// planIdle gives up most lasting servers of a deployment without load before the reclaimable ones that replace them have
-// booted: the maximum of a domain applies to both kinds together, so there would be no room to run both.
+// planIdle gives up most on-demand servers of a deployment without load, in domains that accept orders of reclaimable
+// ones, before these have booted: the maximum of a domain applies to both kinds together, so there would be no room to
+// run both.
 func planIdle(in Input, plan map[string]Counts) {
 	for _, d := range in.Domains {
 		c := plan[d.Name]
 		c.Lasting = d.Lasting
 		if d.Accepted && !d.Refused {
-			c.Lasting = min(d.Lasting, max(idleLasting, in.Min-c.Reclaimable))
+			c.Lasting = min(d.Lasting, max(idleOnDemand, in.Min-c.Reclaimable))
 		}
 		c.Reclaimable = min(c.Reclaimable, in.Max-c.Lasting)
 		plan[d.Name] = c
@@ -153,10 +155,10 @@
 	}
 }
 
-// planLasting covers the shortfall of reclaimable servers. Running servers stay in their domain, since a replacement
-// boots for seconds and starts with an empty cache; the cheapest domains keep and get servers first. Lasting servers are
-// not reclaimed, so there is little to gain from spreading them.
-func planLasting(in Input, shortfall int, plan map[string]Counts) {
+// planOnDemand covers the shortfall of reclaimable servers. Running servers stay in their domain, since a replacement
+// boots for seconds and starts with an empty cache; the cheapest domains keep and get servers first. On-demand servers
+// are not reclaimed, so there is little to gain from spreading them.
+func planOnDemand(in Input, shortfall int, plan map[string]Counts) {
 	domains := append([]Domain(nil), in.Domains...)
 	sort.Slice(domains, func(i, j int) bool {
 		if domains[i].Price != domains[j].Price {
--- a/pkg/elastic/elastic_test.go
+++ b/pkg/elastic/elastic_test.go
@@ -7,33 +7,33 @@
 	"gotest.tools/v3/assert"
 )
 
-func fourDomains(reclaimable, lasting int) []Domain {
+func fourDomains(reclaimable, onDemand int) []Domain {
 	var out []Domain
 	for i, name := range []string{"a", "b", "c", "d"} {
-		out = append(out, Domain{Name: name, Price: []float64{1, 0.8, 1.25, 0.9}[i], Reclaimable: reclaimable, Lasting: lasting})
+		out = append(out, Domain{Name: name, Price: []float64{1, 0.8, 1.25, 0.9}[i], Reclaimable: reclaimable, Lasting: onDemand})
 	}
 	return out
 }
 
-func totals(plan map[string]Counts) (reclaimable, lasting int) {
+func totals(plan map[string]Counts) (reclaimable, onDemand int) {
 	for _, c := range plan {
 		reclaimable += c.Reclaimable
-		lasting += c.Lasting
+		onDemand += c.Lasting
 	}
-	return reclaimable, lasting
+	return reclaimable, onDemand
 }
 
-// Guards against paying for lasting servers while reclaimable ones carry the load.
+// Guards against paying for on-demand servers while reclaimable ones carry the load.
 func TestReclaimableServersCarryTheLoadWhenAvailable(t *testing.T) {
 	in := Input{Load: 6, Peak: 7, Known: true, Min: 1, Max: 10, Domains: fourDomains(6, 4)}
-	reclaimable, lasting := totals(Plan(in))
-	assert.Equal(t, lasting, 0)
+	reclaimable, onDemand := totals(Plan(in))
+	assert.Equal(t, onDemand, 0)
 	assert.Assert(t, float64(reclaimable) >= in.Peak/peakUtilization)
 }
 
 // Simulates the reclaim of one domain after the other while no reclaimable servers are available. Guards against a plan
-// that counts on ordered reclaimable ones: at each step the running servers and the lasting ones ordered carry the mean
-// load.
+// that counts on ordered reclaimable ones: at each step the running servers and the on-demand ones ordered carry the
+// mean load.
 func TestReclaimOfSeveralDomainsIsCovered(t *testing.T) {
 	in := Input{Load: 8, Peak: 9, Known: true, Min: 1, Max: 10, Domains: fourDomains(8, 0)}
 	for i := range 3 {
@@ -50,7 +50,7 @@
 		}
 		assert.Assert(t, float64(running) >= in.Load/meanUtilization, "after %d domains: %d", i+1, running)
 	}
-	// The lasting servers are ordered in the cheapest domains.
+	// The on-demand servers are ordered in the cheapest domains.
 	assert.Assert(t, Plan(in)["b"].Lasting > Plan(in)["c"].Lasting)
 }
 
@@ -63,8 +63,8 @@
 			in.Domains[i].Reclaimable, in.Domains[i].Lasting = plan[d.Name].Reclaimable, plan[d.Name].Lasting
 		}
 	}
-	reclaimable, lasting := totals(Plan(in))
-	assert.Assert(t, reclaimable+lasting >= in.Initial)
+	reclaimable, onDemand := totals(Plan(in))
+	assert.Assert(t, reclaimable+onDemand >= in.Initial)
 }
 
 // Guards against orders that follow every burst of requests up and down.
@@ -98,7 +98,7 @@
 	assert.Equal(t, Plan(in)["c"].Lasting, 0)
 }
 
-// Guards against missing capacity for the boot time of a lasting server, when the last domain with reclaimable ones is
+// Guards against missing capacity for the boot time of an on-demand server, when the last domain with reclaimable ones is
 // reclaimed while none are available: the remaining servers must carry the load.
 func TestLossOfTheNextDomainIsCoveredWhileServersAreScarce(t *testing.T) {
 	in := Input{Load: 7, Peak: 8, Known: true, Min: 1, Max: 10, Domains: fourDomains(0, 0)}
@@ -106,11 +106,11 @@
 	for i := range in.Domains {
 		in.Domains[i].Refused = true
 	}
-	_, lasting := totals(Plan(in))
-	assert.Assert(t, float64(lasting+7) >= in.Load)
+	_, onDemand := totals(Plan(in))
+	assert.Assert(t, float64(onDemand+7) >= in.Load)
 	in.Domains[3].Reclaimable = 0
-	_, lasting = totals(Plan(in))
-	assert.Assert(t, float64(lasting) >= in.Load)
+	_, onDemand = totals(Plan(in))
+	assert.Assert(t, float64(onDemand) >= in.Load)
 }
 
 // Guards against a new planner that gives up the existing fleet because it starts during a pause in traffic or after the
@@ -132,8 +132,8 @@
 // ones, and against giving them up where no reclaimable ones are available.
 func TestIdleDeploymentMovesToReclaimableServers(t *testing.T) {
 	in := Input{Initial: 22, Idle: true, Min: 1, Max: 10, Domains: fourDomains(0, 6)}
-	reclaimable, lasting := totals(Plan(in))
-	assert.Equal(t, lasting, 24, "no order is accepted yet")
+	reclaimable, onDemand := totals(Plan(in))
+	assert.Equal(t, onDemand, 24, "no order is accepted yet")
 	assert.Equal(t, reclaimable, 16)
 	for i := range in.Domains[:3] {
 		in.Domains[i].Accepted = true
@@ -141,18 +141,18 @@
 	in.Domains[3].Refused = true
 	plan := Plan(in)
 	for _, d := range in.Domains[:3] {
-		assert.Equal(t, plan[d.Name], Counts{Reclaimable: 8, Lasting: idleLasting}, d.Name)
+		assert.Equal(t, plan[d.Name], Counts{Reclaimable: 8, Lasting: idleOnDemand}, d.Name)
 	}
 	assert.Equal(t, plan["d"].Lasting, 6)
 	for i := range in.Domains {
 		in.Domains[i].Reclaimable = 8
 	}
-	_, lasting = totals(Plan(in))
-	assert.Equal(t, lasting, 0, "the reclaimable servers serve")
+	_, onDemand = totals(Plan(in))
+	assert.Equal(t, onDemand, 0, "the reclaimable servers serve")
 	in.Idle = false
 	for i := range in.Domains {
 		in.Domains[i].Reclaimable = 0
 	}
-	_, lasting = totals(Plan(in))
-	assert.Assert(t, lasting >= 22, "the load arrives before the reclaimable servers serve")
+	_, onDemand = totals(Plan(in))
+	assert.Assert(t, onDemand >= 22, "the load arrives before the reclaimable servers serve")
 }
