--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// RepeatRule says how often a request may run.
+// RepeatRule determines how often a request may run.
 type RepeatRule uint8
 
 const (
-	// AtMostOnce requests run at most once; a request that was sent and not answered is not sent again.
+	// AtMostOnce requests run at most once; a request that was sent and got no response is not sent again.
 	AtMostOnce RepeatRule = iota
 	// Repeatable requests may run any number of times.
 	Repeatable
@@ -39,9 +39,9 @@
 	Targets []Target
 	// MaxAttempts is the maximum number of servers that one request may be sent to.
 	MaxAttempts int
-	// Timeout is the maximum time a caller waits for the answer; 0 means that the route sets no limit.
+	// Timeout is the maximum time a caller waits for the response; 0 means that the route sets no limit.
 	Timeout time.Duration
-	// LatencyTarget is the target for the time to the complete answer, or to the first event of a stream.
+	// LatencyTarget is the target for the time to the complete response, or to the first event of a stream.
 	LatencyTarget time.Duration
 	// PauseTarget is the target for the time between two events of a stream.
 	PauseTarget time.Duration
@@ -176,13 +176,13 @@
 	ResumeAfter string
 }
 
-// Reply is the information about an answer in the backend server's headers.
+// Reply is the information about a response in the backend server's headers.
 type Reply struct {
 	// NotRun is set if the server states that it did not start the request.
 	NotRun bool
 	// OtherServer is set if another server now has the address.
 	OtherServer bool
-	// Signed is set if the answer carries the server's signature.
+	// Signed is set if the response carries the server's signature.
 	Signed    bool
 	AttemptID string
 	// Running, Waiting and Slots are the server's load; HasLoad is false if it reports none.
