--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -81,7 +81,7 @@
 		return sendResult{status: responseLost, reason: "answer_cut"}
 	}
 	response.header = n.headers.Answer(response.header)
-	if resp.StatusCode >= http.StatusInternalServerError && req.route.Repeat == serving.Repeatable {
+	if resp.StatusCode >= http.StatusInternalServerError && req.route.Repeat == serving.Idempotent {
 		if response.rest == nil {
 			return sendResult{status: serverFailed, reason: "server_error", response: response}
 		}
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -194,14 +194,14 @@
 		req.sends++
 		req.mayHaveRun = true
 		n.countUsage(req)
-		if !req.route.Repeat.MayRepeat() {
+		if !req.route.Repeat.MayRetry() {
 			return code.New(code.OutcomeUnknown, "the server's answer was lost")
 		}
 	case serverFailed:
 		req.sends++
 		req.mayHaveRun = true
 		n.countUsage(req)
-		if !req.route.Repeat.MayRepeat() {
+		if !req.route.Repeat.MayRetry() {
 			return code.New(code.BackendFailed, "the server failed")
 		}
 	}
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// RepeatRule determines how often a request may run.
-type RepeatRule uint8
+// RetryRule determines how often a request may run.
+type RetryRule uint8
 
 const (
 	// AtMostOnce requests run at most once; a request that was sent and got no response is not sent again.
-	AtMostOnce RepeatRule = iota
-	// Repeatable requests may run any number of times.
-	Repeatable
+	AtMostOnce RetryRule = iota
+	// Idempotent requests may run any number of times.
+	Idempotent
 	// Resumable streams may be continued on another server after the last event delivered to the caller.
 	Resumable
 )
 
-// MayRepeat reports whether a request that may have run can be sent again.
-func (r RepeatRule) MayRepeat() bool { return r != AtMostOnce }
+// MayRetry reports whether a request that may have run can be sent again.
+func (r RetryRule) MayRetry() bool { return r != AtMostOnce }
 
 // Target is one service of a route with its weight in the distribution of requests.
 type Target struct {
@@ -35,7 +35,7 @@
 	Name, Host, Prefix string
 	// Stream is set when the response is a sequence of numbered events.
 	Stream  bool
-	Repeat  RepeatRule
+	Repeat  RetryRule
 	Targets []Target
 	// MaxAttempts is the maximum number of servers that one request may be sent to.
 	MaxAttempts int
