--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -16,12 +16,12 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against arrivals that are evenly spaced, depend on anything but the seed, or miss the rate.
+// Guards against arrivals that are evenly spaced, do not depend on the seed alone, or miss the rate.
 func TestArrivalsArePoisson(t *testing.T) {
 	const rate = 50.0
-	first := arrivals(7, rate, 200*time.Second)
-	assert.DeepEqual(t, first, arrivals(7, rate, 200*time.Second))
-	assert.Assert(t, len(first) != len(arrivals(8, rate, 200*time.Second)))
+	first := arrivalTimes(7, rate, 200*time.Second)
+	assert.DeepEqual(t, first, arrivalTimes(7, rate, 200*time.Second))
+	assert.Assert(t, len(first) != len(arrivalTimes(8, rate, 200*time.Second)))
 	assert.Assert(t, math.Abs(float64(len(first))/200/rate-1) < 0.05, "%d arrivals", len(first))
 	var sum, squares float64
 	for i := 1; i < len(first); i++ {
@@ -35,12 +35,12 @@
 	assert.Assert(t, math.Abs(variation-1) < 0.05, "coefficient of variation %.3f, want 1", variation)
 }
 
-// Guards against two runs of one seed that send different requests, which would make reports incomparable.
+// Guards against two runs with the same seed that send different requests, which would make reports incomparable.
 func TestMixDependsOnSeedOnly(t *testing.T) {
 	for mix := range mixes {
-		a, err := newSource(Options{Mix: mix, Seed: 5, Tokens: labTokens}, "run")
+		a, err := newRequestSource(Options{Mix: mix, Seed: 5, Tokens: testbedTokens}, "run")
 		assert.NilError(t, err)
-		b, err := newSource(Options{Mix: mix, Seed: 5, Tokens: labTokens}, "run")
+		b, err := newRequestSource(Options{Mix: mix, Seed: 5, Tokens: testbedTokens}, "run")
 		assert.NilError(t, err)
 		percent := 0
 		for _, c := range mixes[mix] {
@@ -49,23 +49,23 @@
 		assert.Equal(t, percent, 100, mix)
 		for range 200 {
 			x, y := a.next(), b.next()
-			assert.Equal(t, string(x.body)+x.path+x.key+x.token, string(y.body)+y.path+y.key+y.token)
+			assert.Equal(t, string(x.body)+x.path+x.idempotencyKey+x.bearerToken, string(y.body)+y.path+y.idempotencyKey+y.bearerToken)
 		}
 	}
-	_, err := newSource(Options{Mix: "none"}, "")
+	_, err := newRequestSource(Options{Mix: "none"}, "")
 	assert.ErrorContains(t, err, `unknown mix "none"`)
 }
 
-// sampleStream returns a streamed request of a mix.
-func sampleStream(t *testing.T) *request {
+// sampleStreamRequest returns a streamed request of a mix.
+func sampleStreamRequest(t *testing.T) *request {
 	t.Helper()
-	src, err := newSource(Options{Mix: Oleaje, Seed: 1, Tokens: labTokens}, "run")
+	src, err := newRequestSource(Options{Mix: Oleaje, Seed: 1, Tokens: testbedTokens}, "run")
 	assert.NilError(t, err)
-	r := src.short("quote", kindStream, 8, 9)
+	r := src.shortGeneration("quote", kindStream, 8, 9)
 	return &r
 }
 
-// writeEvents sends tokens with their numbers as server-sent events, and the end when there is one.
+// writeEvents sends tokens with their numbers as server-sent events, then the end marker unless finish is empty.
 func writeEvents(w http.ResponseWriter, tokens []string, from int, finish string) {
 	for i, token := range tokens {
 		text, _ := json.Marshal(token)
@@ -76,8 +76,8 @@
 	}
 }
 
-// readFrom runs a request against a handler and returns what was recorded.
-func readFrom(t *testing.T, r *request, handler http.HandlerFunc) *recorder {
+// runAgainst runs a request against a handler and returns the recorded results.
+func runAgainst(t *testing.T, r *request, handler http.HandlerFunc) *recorder {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -88,10 +88,10 @@
 	return rec
 }
 
-// Guards against a benchmark that calls an answer exact although a token was changed, lost, repeated or misnumbered.
-func TestChangedAnswersAreFound(t *testing.T) {
-	r := sampleStream(t)
-	changed := append([]string{}, r.want...)
+// Guards against counting a response as exact although a token was changed, lost, repeated or misnumbered.
+func TestChangedResponsesAreDetected(t *testing.T) {
+	r := sampleStreamRequest(t)
+	changed := append([]string{}, r.wantTokens...)
 	changed[3] = " other"
 	for name, c := range map[string]struct {
 		tokens   []string
@@ -100,16 +100,16 @@
 		complete int
 		exact    int
 	}{
-		"right answer":         {r.want, 0, r.finish, 1, 1},
-		"changed token":        {changed, 0, r.finish, 1, 0},
-		"lost token":           {r.want[:7], 0, r.finish, 1, 0},
-		"repeated token":       {append(append([]string{}, r.want...), r.want[7]), 0, r.finish, 1, 0},
-		"wrong event ids":      {r.want, 1, r.finish, 1, 0},
-		"wrong finish reason":  {r.want, 0, "other", 1, 0},
-		"stream with an error": {r.want[:4], 0, "", 0, 0},
+		"exact response":       {r.wantTokens, 0, r.wantFinishReason, 1, 1},
+		"changed token":        {changed, 0, r.wantFinishReason, 1, 0},
+		"lost token":           {r.wantTokens[:7], 0, r.wantFinishReason, 1, 0},
+		"repeated token":       {append(append([]string{}, r.wantTokens...), r.wantTokens[7]), 0, r.wantFinishReason, 1, 0},
+		"wrong event ids":      {r.wantTokens, 1, r.wantFinishReason, 1, 0},
+		"wrong finish reason":  {r.wantTokens, 0, "other", 1, 0},
+		"stream with an error": {r.wantTokens[:4], 0, "", 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rec := readFrom(t, r, func(w http.ResponseWriter, _ *http.Request) {
+			rec := runAgainst(t, r, func(w http.ResponseWriter, _ *http.Request) {
 				writeEvents(w, c.tokens, c.from, c.finish)
 				if c.finish == "" {
 					fmt.Fprint(w, "event: error\ndata: {\"error\":{\"name\":\"internal\",\"ran\":\"yes\"}}\n\n")
@@ -121,16 +121,16 @@
 	}
 }
 
-// Guards against a resume that asks for the wrong event or counts the first part twice.
+// Guards against a resume that requests the wrong event or counts the first part twice.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	r := sampleStream(t)
-	rec := readFrom(t, r, func(w http.ResponseWriter, req *http.Request) {
+	r := sampleStreamRequest(t)
+	rec := runAgainst(t, r, func(w http.ResponseWriter, req *http.Request) {
 		switch {
 		case req.URL.Path == "/v1/responses/r-1" && req.Header.Get("Last-Event-ID") == "3":
-			writeEvents(w, r.want[3:], 3, r.finish)
+			writeEvents(w, r.wantTokens[3:], 3, r.wantFinishReason)
 		case req.Method == http.MethodPost:
 			w.Header().Set("X-Request-Id", "r-1")
-			writeEvents(w, r.want[:3], 0, "")
+			writeEvents(w, r.wantTokens[:3], 0, "")
 		default:
 			http.NotFound(w, req)
 		}
@@ -139,13 +139,13 @@
 	assert.Equal(t, rec.resumes, 1)
 }
 
-// Guards against a resend of a non-repeatable call with another key, and against a try that cannot be told from others.
-func TestCallIsResentWithItsKey(t *testing.T) {
-	src, err := newSource(Options{Mix: Oleaje, Seed: 1, Tokens: labTokens}, "run")
+// Guards against a retry of a non-repeatable call with another key, and against attempts with the same User-Agent.
+func TestCallIsRetriedWithItsKey(t *testing.T) {
+	src, err := newRequestSource(Options{Mix: Oleaje, Seed: 1, Tokens: testbedTokens}, "run")
 	assert.NilError(t, err)
-	r := src.once("booking", "/bookings")
+	r := src.nonRepeatableCall("booking", "/bookings")
 	var seen []string
-	rec := readFrom(t, &r, func(w http.ResponseWriter, req *http.Request) {
+	rec := runAgainst(t, &r, func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != http.MethodPost {
 			http.NotFound(w, req)
 			return
@@ -156,32 +156,32 @@
 			fmt.Fprint(w, `{"error":{"name":"claim_store_unavailable","ran":"no","retry_after_ms":1}}`)
 			return
 		}
-		_ = json.NewEncoder(w).Encode(map[string]string{"key": "shop/" + r.key, "path": "/bookings", "body": string(r.body)})
+		_ = json.NewEncoder(w).Encode(map[string]string{"key": "shop/" + r.idempotencyKey, "path": "/bookings", "body": string(r.body)})
 	})
-	assert.DeepEqual(t, seen, []string{r.key + " pollenlug-bench/0", r.key + " pollenlug-bench/1"})
+	assert.DeepEqual(t, seen, []string{r.idempotencyKey + " pollenlug-bench/0", r.idempotencyKey + " pollenlug-bench/1"})
 	assert.Equal(t, rec.classes["booking"].exact, 1, "%v", rec.examples)
 	assert.DeepEqual(t, rec.refusals, map[string]int{"claim_store_unavailable": 1})
-	assert.Equal(t, rec.claims[0].told, toldNo)
-	assert.Equal(t, rec.claims[1].told, toldDone)
+	assert.Equal(t, rec.callAttempts[0].ran, ranNo)
+	assert.Equal(t, rec.callAttempts[1].ran, ranDone)
 }
 
-// Guards against a wrong claim about a run, or a repeated run, that the check lets pass.
-func TestWrongClaimsAreFound(t *testing.T) {
+// Guards against a wrong ran status, or a call that ran twice, that the check does not report.
+func TestWrongRanStatusesAreDetected(t *testing.T) {
 	runs := map[string][]string{
 		"shop/once":  {"try/1"},
 		"shop/twice": {"try/0", "try/1"},
 	}
 	for name, c := range map[string]struct {
-		claims          []claim
+		claims          []callAttempt
 		repeated, wrong int
 	}{
-		"no, and another try ran":      {[]claim{{"once", "try/0", toldNo}, {"once", "try/1", toldDone}}, 0, 0},
-		"no, but this try ran":         {[]claim{{"once", "try/1", toldNo}}, 0, 1},
-		"yes, but nothing ran":         {[]claim{{"absent", "try/0", toldYes}}, 0, 1},
-		"an answer, but nothing ran":   {[]claim{{"absent", "try/0", toldDone}}, 0, 1},
-		"unknown and no answer":        {[]claim{{"absent", "try/0", toldUnknown}, {"once", "try/1", toldNothing}}, 0, 0},
-		"a key that ran twice":         {[]claim{{"twice", "try/0", toldUnknown}, {"twice", "try/1", toldDone}}, 1, 0},
-		"no after a run of an old try": {[]claim{{"once", "try/1", toldUnknown}, {"once", "try/2", toldNo}}, 0, 0},
+		"no, another attempt ran":     {[]callAttempt{{"once", "try/0", ranNo}, {"once", "try/1", ranDone}}, 0, 0},
+		"no, but this attempt ran":    {[]callAttempt{{"once", "try/1", ranNo}}, 0, 1},
+		"yes, but nothing ran":        {[]callAttempt{{"absent", "try/0", ranYes}}, 0, 1},
+		"a response, but nothing ran": {[]callAttempt{{"absent", "try/0", ranDone}}, 0, 1},
+		"unknown and no response":     {[]callAttempt{{"absent", "try/0", ranUnknown}, {"once", "try/1", ranNoResponse}}, 0, 0},
+		"a key that ran twice":        {[]callAttempt{{"twice", "try/0", ranUnknown}, {"twice", "try/1", ranDone}}, 1, 0},
+		"no after an earlier run":     {[]callAttempt{{"once", "try/1", ranUnknown}, {"once", "try/2", ranNo}}, 0, 0},
 	} {
 		repeated, wrong := checkRuns(c.claims, runs)
 		assert.Equal(t, len(repeated), c.repeated, name)
@@ -189,17 +189,17 @@
 	}
 }
 
-// Guards against a broken promise that a report does not show, which would let a scenario exit with 0.
-func TestReportListsBrokenPromises(t *testing.T) {
+// Guards against a violated guarantee that a report does not list, which would let a scenario exit with 0.
+func TestReportListsViolatedGuarantees(t *testing.T) {
 	r := &Report{Accepted: 10, Complete: 9, Exact: 8, Repeated: 1, WrongRan: 2}
-	r.judge()
+	r.checkGuarantees()
 	assert.Equal(t, len(r.Broken), 4, "%v", r.Broken)
 	r = &Report{Accepted: 10, Complete: 10, Exact: 10}
-	r.judge()
+	r.checkGuarantees()
 	assert.Equal(t, len(r.Broken), 0)
 }
 
-// Guards against a comparison that hides a difference or shows what is equal.
+// Guards against a comparison that omits a difference or prints equal figures.
 func TestCompare(t *testing.T) {
 	class := func(p99 float64) map[string]ClassReport {
 		return map[string]ClassReport{"quote": {FirstToken: Quantiles{Count: 9, P50: 10, P95: 20, P99: p99}}}
@@ -211,32 +211,32 @@
 	golden.Assert(t, out.String(), "compare.golden")
 }
 
-// Guards against a version that goes back, or an edit that never comes into force, without notice.
-func TestRaceFindsLoweredVersions(t *testing.T) {
+// Guards against not reporting a node that returns to a lower version or an edit that never comes into force.
+func TestConfigRaceDetectsVersionRegression(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := &race{nodes: make([]nodeConfig, 2), digests: map[uint64]string{}, seen: map[uint64]time.Time{}}
+	r := &configRaceMonitor{nodes: make([]nodeConfig, 2), digests: map[uint64]string{}, firstSeen: map[uint64]time.Time{}}
 	r.edits = []edit{{2, now, true}, {3, now, true}}
 	for i := range r.nodes {
-		r.saw(i, 1, 1, "a", now)
-		r.saw(i, 2, 2, "b", now.Add(time.Second))
+		r.observe(i, 1, 1, "a", now)
+		r.observe(i, 2, 2, "b", now.Add(time.Second))
 	}
-	r.saw(1, 1, 1, "c", now.Add(2*time.Second))
+	r.observe(1, 1, 1, "c", now.Add(2*time.Second))
 	report := &Report{Figures: map[string]float64{}}
-	r.judge(report)
+	r.addFigures(report)
 	text := strings.Join(report.Broken, "\n")
-	for _, want := range []string{"1 edits or versions that did not", "1 times that a node went back", "1 versions with two digests"} {
+	for _, want := range []string{"1 edits or versions that did not", "1 times that a node returned to", "1 versions with different digests"} {
 		assert.Assert(t, strings.Contains(text, want), "missing %q in %s", want, text)
 	}
 	assert.Equal(t, report.Figures["edit_to_everywhere_p50_ms"], 1000.447)
 }
 
-// Guards against CPU and memory figures from the wrong fields; the command may contain spaces and parentheses.
+// Guards against CPU and memory figures from the wrong fields: the command may contain spaces and parentheses.
 func TestParseStat(t *testing.T) {
 	line := "42 (a b) c) S 1 42 42 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 12 0 12345 900000000 1000 18446744073709551615"
-	got, err := parseStat(line)
+	usage, err := parseStat(line)
 	assert.NilError(t, err)
-	assert.Equal(t, got.cpuSeconds, 3.0)
-	assert.Assert(t, got.residentKiB >= 4000)
+	assert.Equal(t, usage.cpuSeconds, 3.0)
+	assert.Assert(t, usage.residentKiB >= 4000)
 	_, err = parseStat("42 (x) S 1")
-	assert.ErrorIs(t, err, errStat)
+	assert.ErrorIs(t, err, errMalformedStat)
 }
--- a/internal/bench/caller.go
+++ b/internal/bench/caller.go
@@ -16,31 +16,31 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// headerTimeout bounds the wait for the headers of an answer.
+	// headerTimeout bounds the wait for the response headers.
 	headerTimeout = 20 * time.Second
-	// entriesTimeout bounds one question for the entries.
+	// entriesTimeout bounds one query of /v1/entries.
 	entriesTimeout = 2 * time.Second
-	// entriesBackoff is the pause after no entry node has answered.
+	// entriesBackoff is the delay after no entry node has responded.
 	entriesBackoff = 100 * time.Millisecond
 	maxRedirects   = 5
-	// maxAnswerBytes bounds what is read of an answer that is no stream.
-	maxAnswerBytes = 4 << 20
+	// maxResponseBytes limits how much of a non-streamed response is read.
+	maxResponseBytes = 4 << 20
 )
 
-// caller is one program of a customer: it has its own address, connections and list of entries.
+// caller simulates one client program: it has its own address, connections and cached entries.
 type caller struct {
-	client *http.Client
-	seeds  []string // addresses to ask first
-	rec    *recorder
+	client    *http.Client
+	seedAddrs []string // entry nodes to query when no cached entry responds
+	rec       *recorder
 
-	mu      sync.Mutex
-	entries []string
-	expires time.Time
+	mu              sync.Mutex
+	cachedEntries   []string
+	entriesExpireAt time.Time
 }
 
-func newCaller(seeds []string, number int, rec *recorder) *caller {
+func newCaller(seedAddrs []string, number int, rec *recorder) *caller {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	if loopback(seeds) {
+	if loopback(seedAddrs) {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(1+number%250))}
 	}
 	transport := &http.Transport{
@@ -49,9 +49,9 @@
 		ResponseHeaderTimeout: headerTimeout,
 	}
 	return &caller{
-		client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
-		seeds:  seeds,
-		rec:    rec,
+		client:    &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
+		seedAddrs: seedAddrs,
+		rec:       rec,
 	}
 }
 
@@ -67,24 +67,24 @@
 
 func (c *caller) close() { c.client.CloseIdleConnections() }
 
-// list returns the addresses to use, best first, from the cache while it is valid.
-func (c *caller) list(ctx context.Context) []string {
+// entryAddrs returns the addresses of the entry nodes, most preferred first, from the cache while it is valid.
+func (c *caller) entryAddrs(ctx context.Context) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.expires) {
-		return c.entries
+	if time.Now().Before(c.entriesExpireAt) {
+		return c.cachedEntries
 	}
-	for _, addr := range append(append([]string{}, c.entries...), c.seeds...) {
-		entries, ttl, err := c.ask(ctx, addr)
+	for _, addr := range append(append([]string{}, c.cachedEntries...), c.seedAddrs...) {
+		entries, ttl, err := c.queryEntries(ctx, addr)
 		if err == nil && len(entries) > 0 {
-			c.entries, c.expires = entries, time.Now().Add(ttl)
+			c.cachedEntries, c.entriesExpireAt = entries, time.Now().Add(ttl)
 			return entries
 		}
 	}
-	return c.seeds
+	return c.seedAddrs
 }
 
-func (c *caller) ask(ctx context.Context, addr string) ([]string, time.Duration, error) {
+func (c *caller) queryEntries(ctx context.Context, addr string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/entries", nil)
@@ -96,34 +96,36 @@
 		return nil, 0, err
 	}
 	defer res.Body.Close()
-	var answer struct {
+	var response struct {
 		Entries []gateway.Entry `json:"entries"`
 		TTL     int             `json:"ttl_seconds"`
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(&response); err != nil {
 		return nil, 0, err
 	}
-	var out []string
-	for _, e := range answer.Entries {
-		out = append(out, e.Addr)
+	var addrs []string
+	for _, e := range response.Entries {
+		addrs = append(addrs, e.Addr)
 	}
-	return out, time.Duration(answer.TTL) * time.Second, nil
+	return addrs, time.Duration(response.TTL) * time.Second, nil
 }
 
-// failed drops the list after a broken connection, so that the next request asks again.
-func (c *caller) failed() {
+// expireEntries expires the cached entries after a failed connection or a redirect, so that the next request queries
+// them again.
+func (c *caller) expireEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expires = time.Time{}
+	c.entriesExpireAt = time.Time{}
 }
 
-// entry returns the address for the n-th try: the best one first, then the others in turn.
-func (c *caller) entry(ctx context.Context, try int) string {
-	list := c.list(ctx)
-	return list[try%len(list)]
+// entryAddr returns the address for an attempt, counted from 0: the most preferred entry first, then the others in
+// turn.
+func (c *caller) entryAddr(ctx context.Context, attempt int) string {
+	addrs := c.entryAddrs(ctx)
+	return addrs[attempt%len(addrs)]
 }
 
-// send sends one try and follows redirects. It returns the address that answered.
+// send sends one attempt and follows redirects. It returns the response and the address that sent it.
 func (c *caller) send(ctx context.Context, r *request, addr, path string, header http.Header) (*http.Response, string, error) {
 	url := "http://" + addr + path
 	method, body := r.method, r.body
@@ -138,14 +140,14 @@
 		req.Header = header.Clone()
 		res, err := c.client.Do(req)
 		if err != nil {
-			c.failed()
+			c.expireEntries()
 			return nil, req.URL.Host, err
 		}
 		if res.StatusCode != http.StatusTemporaryRedirect {
 			return res, req.URL.Host, nil
 		}
-		c.rec.count(&c.rec.redirects)
-		c.failed()
+		c.rec.increment(&c.rec.redirects)
+		c.expireEntries()
 		location, err := res.Location()
 		_ = res.Body.Close()
 		if err != nil {
@@ -156,7 +158,7 @@
 	return nil, "", fmt.Errorf("more than %d redirects", maxRedirects)
 }
 
-// refusal is the error object of an answer.
+// refusal is the error object of a response.
 type refusal struct {
 	Name         string `json:"name"`
 	Message      string `json:"message"`
@@ -165,7 +167,7 @@
 }
 
 func readRefusal(res *http.Response) refusal {
-	body, _ := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, _ := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return parseRefusal(body, res.StatusCode)
 }
 
--- a/internal/bench/check.go
+++ b/internal/bench/check.go
@@ -6,47 +6,47 @@
 	"strings"
 )
 
-// told is what a caller was told about one try of a non-repeatable call: the value of `ran`, or toldDone after an
-// answer of the service.
-type told string
+// ranStatus is what the response to one attempt of a non-repeatable call says about its execution: the value of `ran`,
+// or ranDone if the service responded.
+type ranStatus string
 
-// Values of told.
+// Values of ranStatus.
 const (
-	toldNo      told = "no"
-	toldYes     told = "yes"
-	toldUnknown told = "unknown"
-	toldDone    told = "done"
-	toldNothing told = ""
+	ranNo         ranStatus = "no"
+	ranYes        ranStatus = "yes"
+	ranUnknown    ranStatus = "unknown"
+	ranDone       ranStatus = "done"
+	ranNoResponse ranStatus = ""
 )
 
-// claim is one try of a non-repeatable call and what its caller was told.
-type claim struct {
-	key   string
-	agent string // User-Agent of the try, which the run log shows
-	told  told
+// callAttempt is one attempt of a non-repeatable call and the status that its caller received.
+type callAttempt struct {
+	idempotencyKey string
+	userAgent      string // User-Agent of the attempt, which the run log contains
+	ran            ranStatus
 }
 
-// checkRuns compares what callers were told with the run log, which has the User-Agent of each run by
-// "workspace/key". It returns the keys that ran more than once and a description of each wrong claim. A claim "no" is
-// wrong when the try ran, "yes" and an answer are wrong when the key never ran.
-func checkRuns(claims []claim, runs map[string][]string) (repeated, wrong []string) {
-	byKey := map[string][]string{}
-	for full, agents := range runs {
-		_, key, _ := strings.Cut(full, "/")
-		byKey[key] = append(byKey[key], agents...)
+// checkRuns compares the statuses that callers received with the run log, which has the User-Agent of each run by
+// "workspace/key". It returns a description of each key that ran more than once and of each wrong status. Status "no"
+// is wrong when the attempt ran; "yes" and "done" are wrong when the key never ran.
+func checkRuns(attempts []callAttempt, runs map[string][]string) (repeated, wrong []string) {
+	runsByKey := map[string][]string{}
+	for workspaceKey, userAgents := range runs {
+		_, key, _ := strings.Cut(workspaceKey, "/")
+		runsByKey[key] = append(runsByKey[key], userAgents...)
 	}
-	seen := map[string]bool{}
-	for _, c := range claims {
-		agents := byKey[c.key]
-		if len(agents) > 1 && !seen[c.key] {
-			seen[c.key] = true
-			repeated = append(repeated, fmt.Sprintf("%s ran %d times: %v", c.key, len(agents), agents))
+	reported := map[string]bool{}
+	for _, c := range attempts {
+		userAgents := runsByKey[c.idempotencyKey]
+		if len(userAgents) > 1 && !reported[c.idempotencyKey] {
+			reported[c.idempotencyKey] = true
+			repeated = append(repeated, fmt.Sprintf("%s ran %d times: %v", c.idempotencyKey, len(userAgents), userAgents))
 		}
 		switch {
-		case c.told == toldNo && slices.Contains(agents, c.agent):
-			wrong = append(wrong, fmt.Sprintf("%s %s: told no, but this try ran", c.key, c.agent))
-		case (c.told == toldYes || c.told == toldDone) && len(agents) == 0:
-			wrong = append(wrong, fmt.Sprintf("%s %s: told %s, but the key never ran", c.key, c.agent, c.told))
+		case c.ran == ranNo && slices.Contains(userAgents, c.userAgent):
+			wrong = append(wrong, fmt.Sprintf("%s %s: status no, but this attempt ran", c.idempotencyKey, c.userAgent))
+		case (c.ran == ranYes || c.ran == ranDone) && len(userAgents) == 0:
+			wrong = append(wrong, fmt.Sprintf("%s %s: status %s, but the key never ran", c.idempotencyKey, c.userAgent, c.ran))
 		}
 	}
 	return repeated, wrong
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -8,41 +8,41 @@
 	"text/tabwriter"
 )
 
-// row is one figure of a report.
-type row struct {
+// figure is one numeric value of a report.
+type figure struct {
 	name  string
 	value float64
 }
 
-// Compare prints the figures of two reports that differ, with the difference in percent of the first.
+// Compare prints the figures that differ between two reports, with the difference in percent of the first.
 func Compare(out io.Writer, a, b *Report) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "figure\tA\tB\tB-A\tpercent\t")
-	first, second := figures(a), figures(b)
-	for _, name := range names(first, second) {
-		x, y := first[name], second[name]
-		if x == y {
+	valuesA, valuesB := figureValues(a), figureValues(b)
+	for _, name := range figureNames(valuesA, valuesB) {
+		valueA, valueB := valuesA[name], valuesB[name]
+		if valueA == valueB {
 			continue
 		}
 		percent := "-"
-		if x != 0 {
-			percent = fmt.Sprintf("%+.1f", 100*(y-x)/x)
+		if valueA != 0 {
+			percent = fmt.Sprintf("%+.1f", 100*(valueB-valueA)/valueA)
 		}
-		fmt.Fprintf(table, "%s\t%.6g\t%.6g\t%+.6g\t%s\t\n", name, x, y, y-x, percent)
+		fmt.Fprintf(table, "%s\t%.6g\t%.6g\t%+.6g\t%s\t\n", name, valueA, valueB, valueB-valueA, percent)
 	}
 	_ = table.Flush()
 }
 
-func names(a, b map[string]float64) []string {
+func figureNames(a, b map[string]float64) []string {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return slices.Sorted(maps.Keys(all))
 }
 
-// figures lists the numbers of a report by name.
-func figures(r *Report) map[string]float64 {
+// figureValues returns the numeric values of a report by name.
+func figureValues(r *Report) map[string]float64 {
 	out := map[string]float64{}
-	for _, f := range []row{
+	for _, f := range []figure{
 		{"accepted", float64(r.Accepted)},
 		{"complete", float64(r.Complete)},
 		{"cost per million tokens", r.CostPerMillion},
--- a/internal/bench/configrace.go
+++ b/internal/bench/configrace.go
@@ -14,116 +14,116 @@
 )
 
 const (
-	raceLength = 30 * time.Second
-	raceRate   = 10
-	// raceSettle is how long the nodes may take after the last edit.
-	raceSettle   = 10 * time.Second
-	racePoll     = 20 * time.Millisecond
-	editorCount  = 2
-	editInterval = 600 * time.Millisecond // on average, of each editor
-	// invalidEvery makes one in so many edits invalid.
+	raceDuration = 30 * time.Second
+	raceRate     = 10
+	// raceSettleTime is how long the nodes have to apply the last edit.
+	raceSettleTime   = 10 * time.Second
+	racePollInterval = 20 * time.Millisecond
+	editorCount      = 2
+	editInterval     = 600 * time.Millisecond // on average, of each editor
+	// invalidEvery is the interval, in edits of one editor, at which an edit is invalid.
 	invalidEvery = 8
-	// inForceGoal is the goal for the time from an edit until it is in force on all nodes, at p99.
-	inForceGoal = 2 * time.Second
-	raceFile    = "60-race.json"
+	// propagationGoal is the goal for the time from an edit until it is in force on all nodes, at p99.
+	propagationGoal = 2 * time.Second
+	raceFile        = "60-race.json"
 )
 
-// edit is one edit of the folder.
+// edit is one edit of the operators' folder.
 type edit struct {
 	revision uint64
 	at       time.Time
 	valid    bool
 }
 
-// race watches the configuration on all nodes while editors work.
-type race struct {
-	lab *lab
-
-	mu        sync.Mutex
-	edits     []edit
-	nodes     []nodeConfig
-	lowered   int
-	differing int
-	digests   map[uint64]string    // by version
-	seen      map[uint64]time.Time // first time that any node had the version
+// configRaceMonitor records the edits of the folder and the configuration in force on each node.
+type configRaceMonitor struct {
+	testbed *testbed
+
+	mu               sync.Mutex
+	edits            []edit
+	nodes            []nodeConfig
+	regressions      int
+	digestMismatches int
+	digests          map[uint64]string    // by version
+	firstSeen        map[uint64]time.Time // first time at which the version was in force on any node
 }
 
-// nodeConfig is what one node had in force.
+// nodeConfig is the configuration that one node had in force.
 type nodeConfig struct {
 	version, revision uint64
-	// reached has the time at which a version or a revision was in force for the first time.
-	versionAt, revisionAt []mark
+	// The transitions hold the time at which each version or revision was first seen in force.
+	versionTransitions, revisionTransitions []transition
 }
 
-type mark struct {
+type transition struct {
 	number uint64
 	at     time.Time
 }
 
-// configRace lets two editors edit the same file at the same time.
+// configRace runs two concurrent editors of the same file under load.
 func configRace(ctx context.Context, opts ScenarioOptions) (*Report, error) {
-	l, err := startLab(devcluster.Options{Seed: opts.Seed})
+	tb, err := startTestbed(devcluster.Options{Seed: opts.Seed})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	r := &race{lab: l, nodes: make([]nodeConfig, labNodes), digests: map[uint64]string{}, seen: map[uint64]time.Time{}}
-	watching, stop := context.WithCancel(ctx)
+	defer tb.stop()
+	monitor := &configRaceMonitor{testbed: tb, nodes: make([]nodeConfig, testbedNodes), digests: map[uint64]string{}, firstSeen: map[uint64]time.Time{}}
+	watchCtx, stopWatching := context.WithCancel(ctx)
 	var watchers, editors sync.WaitGroup
-	for i := range labNodes {
-		watchers.Go(func() { r.watch(watching, i) })
+	for i := range testbedNodes {
+		watchers.Go(func() { monitor.watchNode(watchCtx, i) })
 	}
 	defer watchers.Wait()
-	defer stop()
-	run, err := startLoad(ctx, l.load(Oleaje, raceRate, raceLength, opts.Seed))
+	defer stopWatching()
+	run, err := startLoad(ctx, tb.loadOptions(Oleaje, raceRate, raceDuration, opts.Seed))
 	if err != nil {
 		return nil, err
 	}
 	for i := range editorCount {
-		editors.Go(func() { r.edit(ctx, opts.Seed, i) })
+		editors.Go(func() { monitor.runEditor(ctx, opts.Seed, i) })
 	}
 	editors.Wait()
 	<-run.done
-	clock.Sleep(ctx, raceSettle)
-	stop()
+	clock.Sleep(ctx, raceSettleTime)
+	stopWatching()
 	watchers.Wait()
 	report, err := run.report(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r.judge(report)
+	monitor.addFigures(report)
 	return report, nil
 }
 
-// edit writes the file until the time is over.
-func (r *race) edit(ctx context.Context, seed uint64, editor int) {
-	random := rand.New(rand.NewPCG(seed, uint64(100+editor)))
-	end := time.Now().Add(raceLength)
+// runEditor edits the file at random intervals for raceDuration.
+func (r *configRaceMonitor) runEditor(ctx context.Context, seed uint64, editor int) {
+	rng := rand.New(rand.NewPCG(seed, uint64(100+editor)))
+	end := time.Now().Add(raceDuration)
 	for count := 1; time.Now().Before(end) && ctx.Err() == nil; count++ {
-		clock.Sleep(ctx, time.Duration(random.Int64N(int64(2*editInterval))))
+		clock.Sleep(ctx, time.Duration(rng.Int64N(int64(2*editInterval))))
 		valid := count%invalidEvery != 0
-		content := fmt.Sprintf(`{"policy":{"recompute_weight":%d}}`, random.IntN(100))
+		content := fmt.Sprintf(`{"policy":{"recompute_weight":%d}}`, rng.IntN(100))
 		if !valid {
 			content = `{"policy":{"no_such_field":1}}`
 		}
 		at := time.Now()
-		var answer struct {
+		var response struct {
 			Revision uint64 `json:"revision"`
 		}
 		req := devcluster.FaultRequest{File: raceFile, Content: content}
-		if err := callFault(ctx, http.MethodPost, r.lab.fault, "/folder", req, &answer); err != nil {
+		if err := callFaultAPI(ctx, http.MethodPost, r.testbed.faultAddr, "/folder", req, &response); err != nil {
 			continue
 		}
 		r.mu.Lock()
-		r.edits = append(r.edits, edit{answer.Revision, at, valid})
+		r.edits = append(r.edits, edit{response.Revision, at, valid})
 		r.mu.Unlock()
 	}
 }
 
-// watch polls the status of a node.
-func (r *race) watch(ctx context.Context, node int) {
-	url := "http://" + r.lab.cluster.CallerAddrs()[node] + "/v1/status"
-	for ; ctx.Err() == nil; clock.Sleep(ctx, racePoll) {
+// watchNode polls the status of a node.
+func (r *configRaceMonitor) watchNode(ctx context.Context, node int) {
+	url := "http://" + r.testbed.cluster.CallerAddrs()[node] + "/v1/status"
+	for ; ctx.Err() == nil; clock.Sleep(ctx, racePollInterval) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
 			return
@@ -141,113 +141,113 @@
 		err = json.NewDecoder(res.Body).Decode(&status)
 		_ = res.Body.Close()
 		if err == nil {
-			r.saw(node, status.Config.Version, status.Config.FolderRevision, status.Config.Digest, time.Now())
+			r.observe(node, status.Config.Version, status.Config.FolderRevision, status.Config.Digest, time.Now())
 		}
 	}
 }
 
-// saw notes the configuration that a node has in force.
-func (r *race) saw(node int, version, revision uint64, digest string, now time.Time) {
+// observe records the configuration that a node has in force.
+func (r *configRaceMonitor) observe(node int, version, revision uint64, digest string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := &r.nodes[node]
-	if version < n.version || revision < n.revision {
-		r.lowered++
+	config := &r.nodes[node]
+	if version < config.version || revision < config.revision {
+		r.regressions++
 	}
-	if known, ok := r.digests[version]; ok && known != digest {
-		r.differing++
+	if previous, ok := r.digests[version]; ok && previous != digest {
+		r.digestMismatches++
 	}
 	r.digests[version] = digest
-	if _, ok := r.seen[version]; !ok {
-		r.seen[version] = now
+	if _, ok := r.firstSeen[version]; !ok {
+		r.firstSeen[version] = now
 	}
-	if version > n.version {
-		n.versionAt = append(n.versionAt, mark{version, now})
+	if version > config.version {
+		config.versionTransitions = append(config.versionTransitions, transition{version, now})
 	}
-	if revision > n.revision {
-		n.revisionAt = append(n.revisionAt, mark{revision, now})
+	if revision > config.revision {
+		config.revisionTransitions = append(config.revisionTransitions, transition{revision, now})
 	}
-	n.version, n.revision = version, revision
+	config.version, config.revision = version, revision
 }
 
-// reached returns when a number was first reached; ok is false when it never was.
-func reached(marks []mark, number uint64) (time.Time, bool) {
-	for _, m := range marks {
-		if m.number >= number {
-			return m.at, true
+// firstReached returns the time of the first transition to at least the given number; ok is false if there is none.
+func firstReached(transitions []transition, number uint64) (time.Time, bool) {
+	for _, t := range transitions {
+		if t.number >= number {
+			return t.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// everywhere returns when all nodes had reached a number.
-func (r *race) everywhere(of func(*nodeConfig) []mark, number uint64) (time.Time, bool) {
-	var last time.Time
+// reachedByAll returns the time at which the last node reached a number; ok is false if a node never reached it.
+func (r *configRaceMonitor) reachedByAll(transitions func(*nodeConfig) []transition, number uint64) (time.Time, bool) {
+	var latest time.Time
 	for i := range r.nodes {
-		at, ok := reached(of(&r.nodes[i]), number)
+		at, ok := firstReached(transitions(&r.nodes[i]), number)
 		if !ok {
 			return time.Time{}, false
 		}
-		if at.After(last) {
-			last = at
+		if at.After(latest) {
+			latest = at
 		}
 	}
-	return last, true
+	return latest, true
 }
 
-func versionMarks(n *nodeConfig) []mark  { return n.versionAt }
-func revisionMarks(n *nodeConfig) []mark { return n.revisionAt }
+func versionTransitionsOf(n *nodeConfig) []transition  { return n.versionTransitions }
+func revisionTransitionsOf(n *nodeConfig) []transition { return n.revisionTransitions }
 
-// overwritten reports whether an invalid edit came between a valid one and its coming into force at the given time
-// (zero: never). The folder is then refused as it is, so that the valid edit cannot come into force by itself.
-func (r *race) overwritten(e edit, inForce time.Time) bool {
+// overwrittenByInvalid reports whether an invalid edit was made after the valid edit e and before e came into force
+// (zero time: never). The whole folder is rejected while it is invalid, so e cannot come into force by itself.
+func (r *configRaceMonitor) overwrittenByInvalid(e edit, inForceAt time.Time) bool {
 	for _, other := range r.edits {
-		if !other.valid && other.revision > e.revision && (inForce.IsZero() || other.at.Before(inForce)) {
+		if !other.valid && other.revision > e.revision && (inForceAt.IsZero() || other.at.Before(inForceAt)) {
 			return true
 		}
 	}
 	return false
 }
 
-// judge adds the figures of the race and its broken promises.
-func (r *race) judge(report *Report) {
-	edits, spread := newHistogram(), newHistogram()
-	missing, overwritten := 0, 0
+// addFigures adds the figures of the scenario and its violated guarantees to the report.
+func (r *configRaceMonitor) addFigures(report *Report) {
+	editTimes, versionTimes := newHistogram(), newHistogram()
+	notInForce, overwritten := 0, 0
 	for _, e := range r.edits {
 		if !e.valid {
 			continue
 		}
-		at, ok := r.everywhere(revisionMarks, e.revision)
-		if r.overwritten(e, at) {
+		at, ok := r.reachedByAll(revisionTransitionsOf, e.revision)
+		if r.overwrittenByInvalid(e, at) {
 			overwritten++
 			continue
 		}
 		if !ok {
-			missing++
+			notInForce++
 			continue
 		}
-		record(edits, at.Sub(e.at))
+		record(editTimes, at.Sub(e.at))
 	}
-	for version, first := range r.seen {
-		at, ok := r.everywhere(versionMarks, version)
+	for version, seenAt := range r.firstSeen {
+		at, ok := r.reachedByAll(versionTransitionsOf, version)
 		if !ok {
-			missing++
+			notInForce++
 			continue
 		}
-		record(spread, at.Sub(first))
+		record(versionTimes, at.Sub(seenAt))
 	}
-	fromEdit, fromAccept := quantiles(edits), quantiles(spread)
+	editQuantiles, versionQuantiles := quantiles(editTimes), quantiles(versionTimes)
 	report.Figures["edits"] = float64(len(r.edits))
 	report.Figures["edits_overwritten_by_invalid"] = float64(overwritten)
-	report.Figures["versions"] = float64(len(r.seen))
-	report.Figures["edit_to_everywhere_p50_ms"] = fromEdit.P50
-	report.Figures["edit_to_everywhere_p99_ms"] = fromEdit.P99
-	report.Figures["first_node_to_everywhere_p50_ms"] = fromAccept.P50
-	report.Figures["first_node_to_everywhere_p99_ms"] = fromAccept.P99
-	report.breaks(missing, "edits or versions that did not come into force on all nodes")
-	report.breaks(r.lowered, "times that a node went back to a lower version or revision")
-	report.breaks(r.differing, "versions with two digests")
-	if fromEdit.P99 > float64(inForceGoal.Milliseconds()) {
-		report.Broken = append(report.Broken, fmt.Sprintf("in force on all nodes after %.0f ms at p99, goal 2000 ms", fromEdit.P99))
+	report.Figures["versions"] = float64(len(r.firstSeen))
+	report.Figures["edit_to_everywhere_p50_ms"] = editQuantiles.P50
+	report.Figures["edit_to_everywhere_p99_ms"] = editQuantiles.P99
+	report.Figures["first_node_to_everywhere_p50_ms"] = versionQuantiles.P50
+	report.Figures["first_node_to_everywhere_p99_ms"] = versionQuantiles.P99
+	report.addViolation(notInForce, "edits or versions that did not come into force on all nodes")
+	report.addViolation(r.regressions, "times that a node returned to a lower version or revision")
+	report.addViolation(r.digestMismatches, "versions with different digests")
+	if editQuantiles.P99 > float64(propagationGoal.Milliseconds()) {
+		report.Broken = append(report.Broken, fmt.Sprintf("edits in force on all nodes after %.0f ms at p99, goal 2000 ms", editQuantiles.P99))
 	}
 }
--- a/internal/bench/do.go
+++ b/internal/bench/do.go
@@ -15,201 +15,204 @@
 )
 
 const (
-	// maxTries bounds the tries of one request before it is accepted.
-	maxTries = 8
-	// maxResumes bounds the resumes of one response that make no progress.
+	// maxAttempts limits the attempts of one request before it is accepted.
+	maxAttempts = 8
+	// maxResumes limits the consecutive resumes of one response without progress.
 	maxResumes = 30
-	// firstBackoff and lastBackoff bound the pause before a retry when the refusal states none.
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = 2 * time.Second
-	// maxRetryAfter bounds what a refusal may ask for.
+	// minBackoff and maxBackoff bound the delay before a retry when the refusal sets no longer one.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// maxRetryAfter limits the retry delay that a refusal may request.
 	maxRetryAfter = 5 * time.Second
-	// silenceLimit is when a stream without any byte counts as broken; entry nodes send a comment every 5 s.
-	silenceLimit = 12 * time.Second
+	// streamIdleTimeout is the time without data after which a stream counts as interrupted; entry nodes send a comment
+	// every 5 s.
+	streamIdleTimeout = 12 * time.Second
 )
 
-// nameConnection counts tries that ended without an answer.
-const nameConnection = "connection_broken"
+// connectionBroken is the name under which attempts without a response are counted among the refusals.
+const connectionBroken = "connection_broken"
 
-// run does one request with its retries and records what became of it.
-func (c *caller) run(ctx context.Context, r *request, intended time.Time) {
-	out := &outcome{request: r, intended: intended}
-	for try := 0; try < maxTries && ctx.Err() == nil; try++ {
-		if try > 0 {
-			c.rec.count(&c.rec.resends)
+// run sends one request with its retries and records the outcome.
+func (c *caller) run(ctx context.Context, r *request, intendedAt time.Time) {
+	out := &outcome{request: r, intendedAt: intendedAt}
+	for n := 0; n < maxAttempts && ctx.Err() == nil; n++ {
+		if n > 0 {
+			c.rec.increment(&c.rec.resends)
 		}
-		wait, again := c.try(ctx, out, try)
-		if !again {
+		wait, retry := c.attempt(ctx, out, n)
+		if !retry {
 			break
 		}
-		clock.Sleep(ctx, max(wait, backoff(try)))
+		clock.Sleep(ctx, max(wait, backoff(n)))
 	}
 	c.rec.finish(out)
 }
 
-func backoff(try int) time.Duration { return min(lastBackoff, firstBackoff<<min(try, 10)) }
+func backoff(attempt int) time.Duration { return min(maxBackoff, minBackoff<<min(attempt, 10)) }
 
-// try sends the request once. It reports whether another try is worth it and how long to wait at least.
-func (c *caller) try(ctx context.Context, out *outcome, number int) (wait time.Duration, again bool) {
+// attempt sends the request once. It reports whether to retry and the minimum delay before the retry.
+func (c *caller) attempt(ctx context.Context, out *outcome, n int) (wait time.Duration, retry bool) {
 	r := out.request
-	agent := fmt.Sprintf("pollenlug-bench/%d", number)
-	header := http.Header{"Authorization": {"Bearer " + r.token}, "User-Agent": {agent}}
-	if r.key != "" {
-		header.Set("Idempotency-Key", r.key)
+	userAgent := fmt.Sprintf("pollenlug-bench/%d", n)
+	header := http.Header{"Authorization": {"Bearer " + r.bearerToken}, "User-Agent": {userAgent}}
+	if r.idempotencyKey != "" {
+		header.Set("Idempotency-Key", r.idempotencyKey)
 	}
-	addr := c.entry(ctx, number)
-	sent := time.Now()
+	addr := c.entryAddr(ctx, n)
+	sentAt := time.Now()
 	res, addr, err := c.send(ctx, r, addr, r.path, header)
 	if err != nil {
-		c.broken(out, r, agent)
+		c.recordConnectionError(out, r, userAgent)
 		return 0, true
 	}
 	if res.StatusCode != http.StatusOK {
 		defer res.Body.Close()
-		return c.refused(out, readRefusal(res), agent, time.Since(sent))
+		return c.handleRefusal(out, readRefusal(res), userAgent, time.Since(sentAt))
 	}
 	if r.kind == kindStream {
-		out.accept(addr, sent)
-		c.read(ctx, out, res)
+		out.markAccepted(addr, sentAt)
+		c.readStream(ctx, out, res)
 		return 0, false
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
-		c.broken(out, r, agent)
+		c.recordConnectionError(out, r, userAgent)
 		return 0, true
 	}
-	out.accept(addr, sent)
-	out.whole(body)
-	if r.kind == kindOnce {
-		c.rec.claim(claim{r.key, agent, told(toldDone)})
+	out.markAccepted(addr, sentAt)
+	out.finishNonStreamed(body)
+	if r.kind == kindNonRepeatable {
+		c.rec.recordCallAttempt(callAttempt{r.idempotencyKey, userAgent, ranStatus(ranDone)})
 	}
 	return 0, false
 }
 
-func (c *caller) broken(_ *outcome, r *request, agent string) {
-	c.rec.refusal(nameConnection)
-	if r.kind == kindOnce {
-		c.rec.claim(claim{r.key, agent, toldNothing})
+func (c *caller) recordConnectionError(_ *outcome, r *request, userAgent string) {
+	c.rec.countRefusal(connectionBroken)
+	if r.kind == kindNonRepeatable {
+		c.rec.recordCallAttempt(callAttempt{r.idempotencyKey, userAgent, ranNoResponse})
 	}
 }
 
-// refused records a refusal and decides whether the request is sent again.
-func (c *caller) refused(out *outcome, e refusal, agent string, took time.Duration) (time.Duration, bool) {
-	c.rec.refusal(e.Name)
-	out.refusal = e.Name
-	if out.request.kind == kindOnce {
-		c.rec.claim(claim{out.request.key, agent, told(e.Ran)})
-		c.rec.refusedIn(e.Name, took)
+// handleRefusal records a refusal and decides whether the request is retried.
+func (c *caller) handleRefusal(out *outcome, r refusal, userAgent string, elapsed time.Duration) (time.Duration, bool) {
+	c.rec.countRefusal(r.Name)
+	out.lastRefusal = r.Name
+	if out.request.kind == kindNonRepeatable {
+		c.rec.recordCallAttempt(callAttempt{out.request.idempotencyKey, userAgent, ranStatus(r.Ran)})
+		c.rec.recordRefusalTime(r.Name, elapsed)
 	}
-	wait := min(maxRetryAfter, time.Duration(e.RetryAfterMs)*time.Millisecond)
-	return wait, retryable(e, out.request.kind)
+	wait := min(maxRetryAfter, time.Duration(r.RetryAfterMs)*time.Millisecond)
+	return wait, retryable(r, out.request.kind)
 }
 
-// retryable reports whether a refusal is worth a resend: not a fault of the request itself.
-func retryable(e refusal, kind int) bool {
-	switch e.Name {
+// retryable reports whether a refused request may be retried: it must not be at fault itself and, unless it is an
+// idempotent call, must not have run.
+func retryable(r refusal, kind int) bool {
+	switch r.Name {
 	case "malformed_request", "body_too_large", "unknown_model", "unknown_service", "idempotency_key_required", "idempotency_key_reused",
 		"not_found", "method_not_allowed", "context_too_long", "token_missing", "token_refused", "not_permitted", "request_quarantined":
 		return false
 	}
-	return e.Ran != "yes" || kind == kindLookup
+	return r.Ran != "yes" || kind == kindIdempotent
 }
 
-// accept notes that the deployment took the request on.
-func (o *outcome) accept(addr string, sent time.Time) {
+// markAccepted records that the deployment accepted the request.
+func (o *outcome) markAccepted(addr string, sentAt time.Time) {
 	o.accepted = true
 	o.addr = addr
-	o.sent = sent
+	o.sentAt = sentAt
 }
 
-// whole checks an answer that came in one piece.
-func (o *outcome) whole(body []byte) {
-	o.ended = time.Now()
-	o.firstToken = o.ended
+// finishNonStreamed checks a non-streamed response.
+func (o *outcome) finishNonStreamed(body []byte) {
+	o.endedAt = time.Now()
+	o.firstTokenAt = o.endedAt
 	o.complete = true
-	if o.request.kind == kindWhole {
-		o.exact, o.problem = exactWhole(o.request, body)
-		o.received = len(o.request.want)
+	if o.request.kind == kindNonStreamed {
+		o.exact, o.problem = compareCompletion(o.request, body)
+		o.tokensReceived = len(o.request.wantTokens)
 		return
 	}
-	o.server, o.problem = exactCall(o.request, body)
+	o.server, o.problem = compareEcho(o.request, body)
 	o.exact = o.problem == ""
 }
 
-// exactWhole compares a whole answer with the expected one.
-func exactWhole(r *request, body []byte) (bool, string) {
-	var answer struct {
+// compareCompletion compares a non-streamed completion with the expected one.
+func compareCompletion(r *request, body []byte) (bool, string) {
+	var completion struct {
 		Choices []struct {
 			Message      struct{ Content string }
 			FinishReason string `json:"finish_reason"`
 		}
 	}
-	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) != 1 {
-		return false, "the answer is no completion"
+	if err := json.Unmarshal(body, &completion); err != nil || len(completion.Choices) != 1 {
+		return false, "the response is not a completion"
 	}
-	got := answer.Choices[0]
-	if got.Message.Content != strings.Join(r.want, "") || got.FinishReason != r.finish {
-		return false, fmt.Sprintf("got %q (%s), want %q (%s)", got.Message.Content, got.FinishReason, strings.Join(r.want, ""), r.finish)
+	got := completion.Choices[0]
+	if got.Message.Content != strings.Join(r.wantTokens, "") || got.FinishReason != r.wantFinishReason {
+		return false, fmt.Sprintf("got %q (%s), want %q (%s)", got.Message.Content, got.FinishReason, strings.Join(r.wantTokens, ""), r.wantFinishReason)
 	}
 	return true, ""
 }
 
-// exactCall checks that the answer of a service belongs to this request. It returns the service's name and what is wrong.
-func exactCall(r *request, body []byte) (server, problem string) {
+// compareEcho checks that the response of a service belongs to this request. It returns the server's name and a
+// description of the mismatch, if any.
+func compareEcho(r *request, body []byte) (server, problem string) {
 	var echo service.Echo
 	if err := json.Unmarshal(body, &echo); err != nil {
-		return "", "the answer is no echo of the call"
+		return "", "the response is not an echo of the call"
 	}
 	_, key, _ := strings.Cut(echo.Key, "/")
 	path := strings.TrimPrefix(r.path, "/s/"+serviceGroup)
-	if echo.Path != path || echo.Body != string(r.body) || key != r.key {
-		return echo.Server, fmt.Sprintf("answer of another call: %s", body)
+	if echo.Path != path || echo.Body != string(r.body) || key != r.idempotencyKey {
+		return echo.Server, fmt.Sprintf("response of another call: %s", body)
 	}
 	return echo.Server, ""
 }
 
-// read reads a stream to its end, resuming it on other entry nodes when it breaks.
-func (c *caller) read(ctx context.Context, out *outcome, res *http.Response) {
+// readStream reads a stream to its end and resumes it on other entry nodes when it is interrupted.
+func (c *caller) readStream(ctx context.Context, out *outcome, res *http.Response) {
 	id := res.Header.Get("X-Request-Id")
 	out.id = id
-	idle := 0
-	for try := 1; ; try++ {
-		before := len(out.tokens)
+	failures := 0
+	for attempt := 1; ; attempt++ {
+		received := len(out.tokens)
 		if res != nil {
-			c.consume(ctx, out, res)
+			c.readEvents(ctx, out, res)
 		}
-		if out.ended.IsZero() && len(out.tokens) > before {
-			idle = 0
+		if out.endedAt.IsZero() && len(out.tokens) > received {
+			failures = 0
 		}
-		if !out.ended.IsZero() || ctx.Err() != nil || idle >= maxResumes {
+		if !out.endedAt.IsZero() || ctx.Err() != nil || failures >= maxResumes {
 			break
 		}
-		idle++
-		clock.Sleep(ctx, backoff(idle-1))
-		c.rec.count(&c.rec.resumes)
-		res = c.resume(ctx, out, try)
+		failures++
+		clock.Sleep(ctx, backoff(failures-1))
+		c.rec.increment(&c.rec.resumes)
+		res = c.resume(ctx, out, attempt)
 	}
-	out.check()
+	out.checkStream()
 }
 
-// resume asks another entry node for the rest; nil means that it did not answer with a stream.
-func (c *caller) resume(ctx context.Context, out *outcome, try int) *http.Response {
+// resume requests the rest of the stream from another entry node; nil means that the node did not return a stream.
+func (c *caller) resume(ctx context.Context, out *outcome, attempt int) *http.Response {
 	header := http.Header{
-		"Authorization": {"Bearer " + out.request.token},
+		"Authorization": {"Bearer " + out.request.bearerToken},
 		"Last-Event-Id": {strconv.Itoa(len(out.tokens))},
 	}
-	addr := c.entry(ctx, try)
+	addr := c.entryAddr(ctx, attempt)
 	res, _, err := c.send(ctx, out.request, addr, "/v1/responses/"+out.id, header)
 	if err != nil {
-		c.rec.refusal(nameConnection)
+		c.rec.countRefusal(connectionBroken)
 		return nil
 	}
 	if res.StatusCode != http.StatusOK {
 		defer res.Body.Close()
-		e := readRefusal(res)
-		c.rec.refusal(e.Name)
-		out.note(fmt.Sprintf("resume at %s after %d tokens: %s: %s", addr, len(out.tokens), e.Name, e.Message))
+		r := readRefusal(res)
+		c.rec.countRefusal(r.Name)
+		out.noteProblem(fmt.Sprintf("resume at %s after %d tokens: %s: %s", addr, len(out.tokens), r.Name, r.Message))
 		return nil
 	}
 	return res
--- a/internal/bench/faultapi.go
+++ b/internal/bench/faultapi.go
@@ -16,7 +16,7 @@
 const (
 	// faultTimeout bounds one call of the fault API.
 	faultTimeout = 10 * time.Second
-	// maxStatsBytes bounds the counters, which list every key.
+	// maxStatsBytes limits the size of a response; the counters list every idempotency key.
 	maxStatsBytes = 64 << 20
 )
 
@@ -25,21 +25,21 @@
 
 func readStats(ctx context.Context, addr string) (*stats, error) {
 	out := &stats{}
-	return out, callFault(ctx, http.MethodGet, addr, "/stats", nil, &out.Stats)
+	return out, callFaultAPI(ctx, http.MethodGet, addr, "/stats", nil, &out.Stats)
 }
 
-func callFault(ctx context.Context, method, addr, path string, req, answer any) error {
+func callFaultAPI(ctx context.Context, method, addr, path string, req, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	body, err := json.Marshal(req)
 	if err != nil {
 		return err
 	}
-	call, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	httpReq, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	res, err := http.DefaultClient.Do(call)
+	res, err := http.DefaultClient.Do(httpReq)
 	if err != nil {
 		return err
 	}
@@ -51,10 +51,10 @@
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("fault API %s: %s: %s", path, res.Status, data)
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	return json.Unmarshal(data, answer)
+	return json.Unmarshal(data, result)
 }
 
 // total sums the counters of all engines.
@@ -72,11 +72,11 @@
 	return out
 }
 
-// callersByKey joins the runs of all groups.
-func (s *stats) callersByKey() map[string][]string {
+// runsByKey merges the runs of all groups: the User-Agent of each run by "workspace/key".
+func (s *stats) runsByKey() map[string][]string {
 	out := map[string][]string{}
-	for _, group := range s.RunCallers {
-		for key, callers := range group {
+	for _, byKey := range s.RunCallers {
+		for key, callers := range byKey {
 			out[key] = append(out[key], callers...)
 		}
 	}
--- a/internal/bench/faultscenarios.go
+++ b/internal/bench/faultscenarios.go
@@ -11,80 +11,80 @@
 )
 
 const (
-	// faultRate is the load beside the faults, in requests per second.
+	// faultRate is the load during the fault scenarios, in requests per second.
 	faultRate = 20
-	// faultStart is when the first fault comes, and faultGap the time between two of them.
-	faultStart = 5 * time.Second
-	faultGap   = 7 * time.Second
-	// lostPercent is the share of lost answers of the store around its outage.
-	lostPercent = 30
-	lateMs      = 2000
-	// storeRefusalLimit is the time within which a non-repeatable call is refused while the store is down.
-	storeRefusalLimit = 250 * time.Millisecond
-	storeDown         = "claim_store_unavailable"
-	quarantined       = "request_quarantined"
+	// firstFaultAt is the time of the first fault after the start of the load, and faultInterval the time between faults.
+	firstFaultAt  = 5 * time.Second
+	faultInterval = 7 * time.Second
+	// lostResponsePercent is the share of store responses that are lost before and after its outage.
+	lostResponsePercent = 30
+	lateResponseMs      = 2000
+	// storeRefusalTarget is the time within which non-repeatable calls must be refused while the store is down, at p99.
+	storeRefusalTarget = 250 * time.Millisecond
+	storeUnavailable   = "claim_store_unavailable"
+	quarantined        = "request_quarantined"
 )
 
-// storeOutage lets the store lose answers, then refuse, then hang, then lose answers again.
+// storeOutage makes the store lose responses, then refuse calls, then hang, then lose responses again.
 func storeOutage(ctx context.Context, opts ScenarioOptions) (*Report, error) {
-	l, err := startLab(devcluster.Options{Seed: opts.Seed})
+	tb, err := startTestbed(devcluster.Options{Seed: opts.Seed})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	set := func(req devcluster.FaultRequest) func(context.Context) error {
+	defer tb.stop()
+	setStoreFault := func(req devcluster.FaultRequest) func(context.Context) error {
 		return func(ctx context.Context) error {
-			_, err := l.do(ctx, "store", req)
+			_, err := tb.injectFault(ctx, "store", req)
 			return err
 		}
 	}
-	losing := devcluster.FaultRequest{LostPercent: lostPercent, LatePercent: lostPercent / 2, LateMs: lateMs}
-	begin := faultStart + faultGap
-	end := begin + opts.Outage
-	load := l.load(Oleaje, faultRate, end+2*faultGap, opts.Seed)
-	_, report, err := l.play(ctx, load, []step{
-		{faultStart, set(losing)},
-		{begin, set(devcluster.FaultRequest{Outage: "refusing"})},
-		{begin + opts.Outage/2, set(devcluster.FaultRequest{Outage: "hanging"})},
-		{end, set(losing)},
-		{end + faultGap, set(devcluster.FaultRequest{})},
+	lossy := devcluster.FaultRequest{LostPercent: lostResponsePercent, LatePercent: lostResponsePercent / 2, LateMs: lateResponseMs}
+	outageStart := firstFaultAt + faultInterval
+	outageEnd := outageStart + opts.Outage
+	load := tb.loadOptions(Oleaje, faultRate, outageEnd+2*faultInterval, opts.Seed)
+	_, report, err := tb.runLoad(ctx, load, []timedFault{
+		{firstFaultAt, setStoreFault(lossy)},
+		{outageStart, setStoreFault(devcluster.FaultRequest{Outage: "refusing"})},
+		{outageStart + opts.Outage/2, setStoreFault(devcluster.FaultRequest{Outage: "hanging"})},
+		{outageEnd, setStoreFault(lossy)},
+		{outageEnd + faultInterval, setStoreFault(devcluster.FaultRequest{})},
 	})
 	if err != nil {
 		return nil, err
 	}
-	refusals := report.RefusalTimes[storeDown]
+	refusals := report.RefusalTimes[storeUnavailable]
 	report.Figures["store_refusals"] = float64(refusals.Count)
 	report.Figures["store_refusal_p50_ms"] = refusals.P50
 	report.Figures["store_refusal_p99_ms"] = refusals.P99
-	if refusals.P99 > float64(storeRefusalLimit.Milliseconds()) {
+	if refusals.P99 > float64(storeRefusalTarget.Milliseconds()) {
 		report.Broken = append(report.Broken, "refusals of non-repeatable calls during the store outage take longer than 250 ms at p99")
 	}
 	return report, nil
 }
 
-// silentConnections makes all open connections of the backend servers silent, several times.
+// silentConnections makes all open connections of the backend servers stop responding, several times.
 func silentConnections(ctx context.Context, opts ScenarioOptions) (*Report, error) {
-	l, err := startLab(devcluster.Options{Seed: opts.Seed})
+	tb, err := startTestbed(devcluster.Options{Seed: opts.Seed})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	silenced := 0
+	defer tb.stop()
+	serversSilenced := 0
 	silence := func(ctx context.Context) error {
-		affected, err := l.do(ctx, "silence", devcluster.FaultRequest{})
-		silenced += len(affected)
+		affected, err := tb.injectFault(ctx, "silence", devcluster.FaultRequest{})
+		serversSilenced += len(affected)
 		return err
 	}
-	load := l.load(Oleaje, faultRate, faultStart+3*faultGap, opts.Seed)
-	_, report, err := l.play(ctx, load, []step{
-		{faultStart, silence},
-		{faultStart + faultGap, silence},
-		{faultStart + 2*faultGap, silence},
+	load := tb.loadOptions(Oleaje, faultRate, firstFaultAt+3*faultInterval, opts.Seed)
+	_, report, err := tb.runLoad(ctx, load, []timedFault{
+		{firstFaultAt, silence},
+		{firstFaultAt + faultInterval, silence},
+		{firstFaultAt + 2*faultInterval, silence},
 	})
 	if err != nil {
 		return nil, err
 	}
-	report.Figures["servers_silenced"] = float64(silenced)
+	report.Figures["servers_silenced"] = float64(serversSilenced)
 	report.Figures["not_accepted"] = float64(report.Requests - report.Accepted)
 	report.Figures["lookup_max_ms"] = report.Classes["history-lookup"].FirstToken.Max
 	report.Figures["unknown_outcome_max_ms"] = report.RefusalTimes["outcome_unknown"].Max
@@ -93,67 +93,67 @@
 
 const (
 	poisonText = "poisonous-content"
-	// poisonSends is how often the same poisonous request is sent, in turn to each node.
+	// poisonSends is how often the same poison request is sent, to each node in turn.
 	poisonSends = 12
-	// poisonPatience bounds one send; an engine that crashed restarts after 3 s.
-	poisonPatience = 5 * time.Second
-	// mostLost is how many servers one request may crash: two strikes.
-	mostLost = 2
+	// poisonTimeout bounds one send; a crashed engine restarts after 3 s.
+	poisonTimeout = 5 * time.Second
+	// maxPoisonCrashes is how many servers one request may crash: two strikes.
+	maxPoisonCrashes = 2
 )
 
-// poison sends one request that crashes every engine that runs it, again and again, beside an ordinary load.
+// poison repeatedly sends one request that crashes every engine that runs it, during an ordinary load.
 func poison(ctx context.Context, opts ScenarioOptions) (*Report, error) {
-	l, err := startLab(devcluster.Options{Seed: opts.Seed})
+	tb, err := startTestbed(devcluster.Options{Seed: opts.Seed})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	refused, last := 0, 0
-	sends := func(ctx context.Context) error {
-		if _, err := l.do(ctx, "poison", devcluster.FaultRequest{Text: poisonText}); err != nil {
+	defer tb.stop()
+	quarantineRefusals, finalRefusals := 0, 0
+	sendAll := func(ctx context.Context) error {
+		if _, err := tb.injectFault(ctx, "poison", devcluster.FaultRequest{Text: poisonText}); err != nil {
 			return err
 		}
 		for i := range poisonSends {
-			name := l.sendPoison(ctx, i%labNodes)
+			name := tb.sendPoison(ctx, i%testbedNodes)
 			if name == quarantined {
-				refused++
+				quarantineRefusals++
 			}
-			if i >= poisonSends-labNodes && name == quarantined {
-				last++
+			if i >= poisonSends-testbedNodes && name == quarantined {
+				finalRefusals++
 			}
 		}
 		return nil
 	}
-	load := l.load(Oleaje, faultRate, faultStart+4*faultGap, opts.Seed)
-	run, report, err := l.play(ctx, load, []step{{faultStart, sends}})
+	load := tb.loadOptions(Oleaje, faultRate, firstFaultAt+4*faultInterval, opts.Seed)
+	run, report, err := tb.runLoad(ctx, load, []timedFault{{firstFaultAt, sendAll}})
 	if err != nil {
 		return nil, err
 	}
-	after, err := readStats(ctx, l.fault)
+	after, err := readStats(ctx, tb.faultAddr)
 	if err != nil {
 		return nil, err
 	}
-	lost := int(after.total().Crashes - run.before.total().Crashes)
-	report.Figures["servers_lost"] = float64(lost)
-	report.Figures["poison_refused"] = float64(refused)
-	report.breaks(max(0, lost-mostLost), "servers lost to one poisonous request beyond two")
-	report.breaks(labNodes-last, "nodes that do not refuse the poisonous request as quarantined in the end")
+	crashed := int(after.total().Crashes - run.statsBefore.total().Crashes)
+	report.Figures["servers_lost"] = float64(crashed)
+	report.Figures["poison_refused"] = float64(quarantineRefusals)
+	report.addViolation(max(0, crashed-maxPoisonCrashes), "servers crashed by one poison request beyond the two allowed")
+	report.addViolation(testbedNodes-finalRefusals, "nodes that do not refuse the poison request as quarantined in the end")
 	return report, nil
 }
 
-// sendPoison sends the poisonous request to one node and returns the name of the refusal, if any.
-func (l *lab) sendPoison(ctx context.Context, node int) string {
-	ctx, cancel := context.WithTimeout(ctx, poisonPatience)
+// sendPoison sends the poison request to one node and returns the name of the refusal, if any.
+func (tb *testbed) sendPoison(ctx context.Context, node int) string {
+	ctx, cancel := context.WithTimeout(ctx, poisonTimeout)
 	defer cancel()
-	body, _ := json.Marshal(map[string]any{"model": smallModel, "prompt": poisonText, "max_tokens": 50, "seed": 1})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.cluster.CallerAddrs()[node]+"/v1/completions", bytes.NewReader(body))
+	body, _ := json.Marshal(map[string]any{"model": defaultSmallModel, "prompt": poisonText, "max_tokens": 50, "seed": 1})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+tb.cluster.CallerAddrs()[node]+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		return nameConnection
+		return connectionBroken
 	}
-	req.Header.Set("Authorization", "Bearer "+labTokens[0])
+	req.Header.Set("Authorization", "Bearer "+testbedTokens[0])
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nameConnection
+		return connectionBroken
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusOK {
--- a/internal/bench/html.go
+++ b/internal/bench/html.go
@@ -23,11 +23,11 @@
 td:first-child,th:first-child{text-align:left}.broken{color:#b00}svg text{font:11px sans-serif}</style></head><body>
 <h1>pollenlug bench {{.Report.Name}}</h1>
 <p>{{.Report.Line}}</p>
-{{range .Report.Broken}}<p class="broken">Broken promise: {{.}}</p>{{end}}
+{{range .Report.Broken}}<p class="broken">Violated guarantee: {{.}}</p>{{end}}
 <h2>First token, by class</h2>{{.First}}
 <h2>Between tokens, by class</h2>{{.Gaps}}
 <h2>Tokens per second over time</h2>{{.Throughput}}
-<h2>Refusals by code (tries)</h2>{{.Refusals}}
+<h2>Refusals by code (attempts)</h2>{{.Refusals}}
 <h2>Classes</h2>
 <table><tr><th>class</th><th>requests</th><th>accepted</th><th>complete</th><th>exact</th><th>first token p50</th><th>p95</th><th>p99 (ms)</th><th>between tokens p50</th><th>p95</th><th>p99 (ms)</th></tr>
 {{range $name, $c := .Report.Classes}}<tr><td>{{$name}}</td><td>{{$c.Requests}}</td><td>{{$c.Accepted}}</td><td>{{$c.Complete}}</td><td>{{$c.Exact}}</td>
@@ -115,7 +115,7 @@
 	return template.HTML(out.String())
 }
 
-// throughputPlot draws received tokens for each second.
+// throughputPlot draws the tokens received in each second.
 func (r *Report) throughputPlot() template.HTML {
 	highest := 1
 	for _, s := range r.Timeline {
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -10,8 +10,9 @@
 	"github.com/pollenlug/pollenlug/internal/clock"
 )
 
-// settleTime is how long after the last answer the run log is read, so that late writes and late runs show.
-const settleTime = 2 * time.Second
+// runLogDelay is the delay after the last response before the run log is read, so that it includes late writes and
+// late runs.
+const runLogDelay = 2 * time.Second
 
 // errNoEntries and errNoTokens mean that Options are incomplete.
 var (
@@ -21,16 +22,16 @@
 
 // loadRun is one load in progress.
 type loadRun struct {
-	opts    Options
-	rec     *recorder
-	callers []*caller
-	begun   time.Time
-	before  *stats
-	dropped int
-	done    chan struct{}
+	opts        Options
+	rec         *recorder
+	callers     []*caller
+	startedAt   time.Time
+	statsBefore *stats
+	dropped     int
+	done        chan struct{}
 }
 
-// Run puts the load on the deployment and returns the report when the last request has ended.
+// Run puts the load on the deployment and returns the report after the last request has ended.
 func Run(ctx context.Context, opts Options) (*Report, error) {
 	run, err := startLoad(ctx, opts)
 	if err != nil {
@@ -49,50 +50,50 @@
 	if len(opts.Tokens) == 0 {
 		return nil, errNoTokens
 	}
-	src, err := newSource(opts, fmt.Sprintf("b%d-%x", opts.Seed, time.Now().UnixMilli()))
+	src, err := newRequestSource(opts, fmt.Sprintf("b%d-%x", opts.Seed, time.Now().UnixMilli()))
 	if err != nil {
 		return nil, err
 	}
 	if err := src.chooseModels(ctx, opts); err != nil {
 		return nil, err
 	}
-	run := &loadRun{opts: opts, rec: newRecorder(), begun: time.Now(), done: make(chan struct{})}
+	run := &loadRun{opts: opts, rec: newRecorder(), startedAt: time.Now(), done: make(chan struct{})}
 	if opts.Fault != "" {
-		if run.before, err = readStats(ctx, opts.Fault); err != nil {
+		if run.statsBefore, err = readStats(ctx, opts.Fault); err != nil {
 			return nil, err
 		}
 	}
 	for i := range opts.Callers {
 		run.callers = append(run.callers, newCaller(opts.Entries, i, run.rec))
 	}
-	go run.generate(ctx, src)
+	go run.sendRequests(ctx, src)
 	return run, nil
 }
 
-// generate sends each request at its intended time.
-func (l *loadRun) generate(ctx context.Context, src *source) {
+// sendRequests sends each request at its intended time and waits for all of them.
+func (l *loadRun) sendRequests(ctx context.Context, src *requestSource) {
 	defer close(l.done)
 	var wg sync.WaitGroup
-	open := make(chan struct{}, l.opts.MaxOpen)
-	for i, at := range arrivals(l.opts.Seed, l.opts.Rate, l.opts.Duration) {
+	slots := make(chan struct{}, l.opts.MaxOpen)
+	for i, offset := range arrivalTimes(l.opts.Seed, l.opts.Rate, l.opts.Duration) {
 		r := src.next()
-		intended := l.begun.Add(at)
-		clock.Sleep(ctx, time.Until(intended))
+		intendedAt := l.startedAt.Add(offset)
+		clock.Sleep(ctx, time.Until(intendedAt))
 		if ctx.Err() != nil {
 			break
 		}
 		select {
-		case open <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			l.rec.count(&l.dropped)
+			l.rec.increment(&l.dropped)
 			continue
 		}
 		caller := l.callers[i%len(l.callers)]
 		wg.Go(func() {
-			defer func() { <-open }()
-			ctx, cancel := context.WithDeadline(ctx, intended.Add(l.opts.Patience))
+			defer func() { <-slots }()
+			ctx, cancel := context.WithDeadline(ctx, intendedAt.Add(l.opts.Patience))
 			defer cancel()
-			caller.run(ctx, &r, intended)
+			caller.run(ctx, &r, intendedAt)
 		})
 	}
 	wg.Wait()
@@ -101,22 +102,22 @@
 	}
 }
 
-// report reads the counters of the stand-ins and builds the report; the load has ended.
+// report reads the counters of the stand-ins and builds the report. It is called after the load has ended.
 func (l *loadRun) report(ctx context.Context) (*Report, error) {
 	out := newReport(l)
-	if l.before == nil {
+	if l.statsBefore == nil {
 		return out, nil
 	}
 	after, err := readStats(ctx, l.opts.Fault)
 	if err != nil {
 		return nil, err
 	}
-	out.addTokens(l.before, after)
-	clock.Sleep(ctx, settleTime)
+	out.addTokens(l.statsBefore, after)
+	clock.Sleep(ctx, runLogDelay)
 	if after, err = readStats(ctx, l.opts.Fault); err != nil {
 		return nil, err
 	}
-	out.addRuns(l.rec.claims, after.callersByKey())
-	out.judge()
+	out.addRuns(l.rec.callAttempts, after.runsByKey())
+	out.checkGuarantees()
 	return out, nil
 }
--- a/internal/bench/models.go
+++ b/internal/bench/models.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// modelsTimeout bounds the question for the models.
+// modelsTimeout bounds the query for the models.
 const modelsTimeout = 10 * time.Second
 
-var errNoModels = errors.New("bench: the deployment lists no models for the first token")
+var errNoModels = errors.New("bench: the deployment lists no models for the first bearer token")
 
-// chooseModels takes the models of the mixes if the deployment has them, else its first and last one.
-func (s *source) chooseModels(ctx context.Context, opts Options) error {
+// chooseModels replaces default models that the deployment does not list: the small one by the first model listed, the
+// large one by the last.
+func (s *requestSource) chooseModels(ctx context.Context, opts Options) error {
 	names, err := listModels(ctx, opts.Entries[0], opts.Tokens[0])
 	if err != nil {
 		return err
@@ -24,11 +25,11 @@
 	if len(names) == 0 {
 		return errNoModels
 	}
-	if !slices.Contains(names, s.small) {
-		s.small = names[0]
+	if !slices.Contains(names, s.smallModel) {
+		s.smallModel = names[0]
 	}
-	if !slices.Contains(names, s.large) {
-		s.large = names[len(names)-1]
+	if !slices.Contains(names, s.largeModel) {
+		s.largeModel = names[len(names)-1]
 	}
 	return nil
 }
@@ -49,14 +50,14 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, errors.New("bench: models: " + readRefusal(res).Name)
 	}
-	var answer struct {
+	var response struct {
 		Data []struct{ ID string }
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(&response); err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, model := range answer.Data {
+	for _, model := range response.Data {
 		names = append(names, model.ID)
 	}
 	return names, nil
--- a/internal/bench/procstat.go
+++ b/internal/bench/procstat.go
@@ -9,29 +9,29 @@
 
 // Positions of the fields of /proc/PID/stat after the command, which ends with ")".
 const (
-	statUser     = 11
-	statSystem   = 12
-	statResident = 21
+	statUserTime      = 11
+	statSystemTime    = 12
+	statResidentPages = 21
 )
 
-var errStat = errors.New("bench: /proc stat line is not understood")
+var errMalformedStat = errors.New("bench: malformed line of /proc/PID/stat")
 
-// parseStat reads a line of /proc/PID/stat.
-func parseStat(line string) (usage, error) {
+// parseStat parses a line of /proc/PID/stat.
+func parseStat(line string) (processUsage, error) {
 	_, rest, ok := strings.Cut(line[max(0, strings.LastIndexByte(line, ')')):], ") ")
 	fields := strings.Fields(rest)
-	if !ok || len(fields) <= statResident {
-		return usage{}, errStat
+	if !ok || len(fields) <= statResidentPages {
+		return processUsage{}, errMalformedStat
 	}
 	var values [3]int64
-	for i, position := range []int{statUser, statSystem, statResident} {
+	for i, position := range []int{statUserTime, statSystemTime, statResidentPages} {
 		value, err := strconv.ParseInt(fields[position], 10, 64)
 		if err != nil {
-			return usage{}, errStat
+			return processUsage{}, errMalformedStat
 		}
 		values[i] = value
 	}
-	return usage{
+	return processUsage{
 		cpuSeconds:  float64(values[0]+values[1]) / ticksPerSecond,
 		residentKiB: values[2] * int64(os.Getpagesize()) / 1024,
 	}, nil
--- a/internal/bench/reclaimwave.go
+++ b/internal/bench/reclaimwave.go
@@ -9,40 +9,42 @@
 	"github.com/pollenlug/pollenlug/internal/devcluster"
 )
 
-// Times of the reclaim wave, from the start of the load.
+// Schedule and load of the reclaim-wave scenario. Reclaims and the kill of a node count from the start of the load.
 const (
-	waveNotice   = 30 * time.Second
-	waveFirst    = 10 * time.Second
-	waveSecond   = 18 * time.Second
-	waveKill     = 23 * time.Second
-	waveLoad     = 35 * time.Second
-	waveRate     = 6
-	waveTokens   = 2400
-	waveStep     = 25 * time.Millisecond
-	newWorkAfter = 3 * time.Second
+	waveNoticePeriod   = 30 * time.Second
+	waveFirstReclaim   = 10 * time.Second
+	waveSecondReclaim  = 18 * time.Second
+	waveNodeKill       = 23 * time.Second
+	waveDuration       = 35 * time.Second // of the load
+	waveRate           = 6
+	waveResponseTokens = 2400
+	waveDecodeStep     = 25 * time.Millisecond
+	// drainReactionTime is the time after a reclaim notice from which new work on a draining instance is a violation.
+	drainReactionTime = 3 * time.Second
 )
 
-// notice is what got a reclaim notice, and when.
-type notice struct {
-	at       time.Time
-	affected []string
-	runs     map[string]uint64 // runs of each engine newWorkAfter later
+// reclaimNotice records which instances received a reclaim notice, and when.
+type reclaimNotice struct {
+	at         time.Time
+	affected   []string
+	engineRuns map[string]uint64 // runs of each engine drainReactionTime later
 }
 
-// wave is a reclaim wave in progress.
-type wave struct {
-	lab     *lab
-	notices []*notice
+// reclaimWaveRun is one run of the reclaim-wave scenario.
+type reclaimWaveRun struct {
+	testbed *testbed
+	notices []*reclaimNotice
 }
 
-// reclaimWave reclaims two of four failure domains while starts are refused, and kills an entry node during its
-// notice. It then runs the same load with moves switched off and interrupted streams started again.
+// reclaimWave reclaims two of four failure domains while instance starts are refused, and kills an entry node during
+// its notice period. It then runs the same load as a baseline without moves, restarting interrupted streams from the
+// beginning.
 func reclaimWave(ctx context.Context, opts ScenarioOptions) (*Report, error) {
-	out, err := runWave(ctx, opts, false)
+	out, err := runReclaimWave(ctx, opts, false)
 	if err != nil {
 		return nil, err
 	}
-	if out.Baseline, err = runWave(ctx, opts, true); err != nil {
+	if out.Baseline, err = runReclaimWave(ctx, opts, true); err != nil {
 		return nil, err
 	}
 	out.Baseline.Name = "reclaim-wave-baseline"
@@ -53,81 +55,82 @@
 	return out, nil
 }
 
-func runWave(ctx context.Context, opts ScenarioOptions, restart bool) (*Report, error) {
-	l, err := startLab(devcluster.Options{
+func runReclaimWave(ctx context.Context, opts ScenarioOptions, restartStreams bool) (*Report, error) {
+	tb, err := startTestbed(devcluster.Options{
 		Seed:           opts.Seed,
-		Tune:           slowEngines(waveStep, 50*time.Microsecond, 64, 20_000, 200_000),
-		RestartStreams: restart,
+		Tune:           engineSpeed(waveDecodeStep, 50*time.Microsecond, 64, 20_000, 200_000),
+		RestartStreams: restartStreams,
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	w := &wave{lab: l}
-	load := l.load(Windwijzer, waveRate, waveLoad, opts.Seed)
-	load.LongAnswers = waveTokens
-	run, report, err := l.play(ctx, load, []step{
-		{waveFirst, func(ctx context.Context) error { return w.reclaim(ctx, "domain-a") }},
-		{waveFirst + newWorkAfter, w.snapshot},
-		{waveSecond, func(ctx context.Context) error { return w.reclaim(ctx, "domain-b") }},
-		{waveSecond + newWorkAfter, w.snapshot},
-		{waveKill, func(ctx context.Context) error {
-			_, err := l.do(ctx, "kill-node", devcluster.FaultRequest{Node: "entry-1"})
+	defer tb.stop()
+	w := &reclaimWaveRun{testbed: tb}
+	load := tb.loadOptions(Windwijzer, waveRate, waveDuration, opts.Seed)
+	load.LongAnswers = waveResponseTokens
+	run, report, err := tb.runLoad(ctx, load, []timedFault{
+		{waveFirstReclaim, func(ctx context.Context) error { return w.reclaim(ctx, "domain-a") }},
+		{waveFirstReclaim + drainReactionTime, w.recordEngineRuns},
+		{waveSecondReclaim, func(ctx context.Context) error { return w.reclaim(ctx, "domain-b") }},
+		{waveSecondReclaim + drainReactionTime, w.recordEngineRuns},
+		{waveNodeKill, func(ctx context.Context) error {
+			_, err := tb.injectFault(ctx, "kill-node", devcluster.FaultRequest{Node: "entry-1"})
 			return err
 		}},
 	})
 	if err != nil {
 		return nil, err
 	}
-	after, err := readStats(ctx, l.fault)
+	after, err := readStats(ctx, tb.faultAddr)
 	if err != nil {
 		return nil, err
 	}
-	servers, nodes := w.newWork(run, after)
-	report.Figures["new_work_on_leaving_engines"] = float64(servers)
-	report.Figures["new_work_on_leaving_nodes_or_services"] = float64(nodes)
+	engines, others := w.countNewWork(run, after)
+	report.Figures["new_work_on_leaving_engines"] = float64(engines)
+	report.Figures["new_work_on_leaving_nodes_or_services"] = float64(others)
 	report.Figures["kv_moves"] = float64(report.KVMoves)
-	report.breaks(servers, "requests that entered the batch of an engine more than 3 s after its notice")
-	report.breaks(nodes, "requests sent to a leaving entry node or service more than 3 s after its notice and accepted there")
+	report.addViolation(engines, "requests that entered the batch of an engine more than 3 s after its reclaim notice")
+	report.addViolation(others, "requests sent to and accepted by a draining entry node or service more than 3 s after its reclaim notice")
 	return report, nil
 }
 
-// reclaim gives notice to a failure domain. Starts are refused from then on.
-func (w *wave) reclaim(ctx context.Context, domain string) error {
-	if _, err := w.lab.do(ctx, "refuse-starts", devcluster.FaultRequest{Refuse: true}); err != nil {
+// reclaim sends a reclaim notice to a failure domain. Instance starts are refused from then on.
+func (w *reclaimWaveRun) reclaim(ctx context.Context, domain string) error {
+	if _, err := w.testbed.injectFault(ctx, "refuse-starts", devcluster.FaultRequest{Refuse: true}); err != nil {
 		return err
 	}
-	affected, err := w.lab.do(ctx, "reclaim", devcluster.FaultRequest{FailureDomain: domain, NoticeMs: int(waveNotice.Milliseconds())})
-	w.notices = append(w.notices, &notice{at: time.Now(), affected: affected})
+	affected, err := w.testbed.injectFault(ctx, "reclaim", devcluster.FaultRequest{FailureDomain: domain, NoticeMs: int(waveNoticePeriod.Milliseconds())})
+	w.notices = append(w.notices, &reclaimNotice{at: time.Now(), affected: affected})
 	return err
 }
 
-// snapshot notes the runs of the engines that got the last notice.
-func (w *wave) snapshot(ctx context.Context) error {
-	current, err := readStats(ctx, w.lab.fault)
+// recordEngineRuns records the run counts of the engines that received the latest notice.
+func (w *reclaimWaveRun) recordEngineRuns(ctx context.Context) error {
+	stats, err := readStats(ctx, w.testbed.faultAddr)
 	if err != nil {
 		return err
 	}
-	last := w.notices[len(w.notices)-1]
-	last.runs = map[string]uint64{}
-	for _, name := range last.affected {
-		if e, ok := current.Engines[name]; ok {
-			last.runs[name] = e.Runs
+	latest := w.notices[len(w.notices)-1]
+	latest.engineRuns = map[string]uint64{}
+	for _, name := range latest.affected {
+		if e, ok := stats.Engines[name]; ok {
+			latest.engineRuns[name] = e.Runs
 		}
 	}
 	return nil
 }
 
-// newWork counts what leaving instances took on more than newWorkAfter after their notice.
-func (w *wave) newWork(run *loadRun, after *stats) (engines, others int) {
-	for _, n := range w.notices {
-		for name, before := range n.runs {
-			engines += int(after.Engines[name].Runs - before)
+// countNewWork counts the runs that draining engines started, and the requests that were sent to and accepted by other
+// draining instances, more than drainReactionTime after their notice.
+func (w *reclaimWaveRun) countNewWork(run *loadRun, after *stats) (engines, others int) {
+	for _, notice := range w.notices {
+		for name, runsBefore := range notice.engineRuns {
+			engines += int(after.Engines[name].Runs - runsBefore)
 		}
-		names := w.addresses(n.affected)
-		for _, a := range run.rec.accepts {
-			late := a.sent.After(n.at.Add(newWorkAfter))
-			if late && (slices.Contains(names, a.addr) || slices.Contains(names, a.server)) {
+		leaving := w.withNodeAddrs(notice.affected)
+		for _, accepted := range run.rec.acceptedRequests {
+			afterNotice := accepted.sentAt.After(notice.at.Add(drainReactionTime))
+			if afterNotice && (slices.Contains(leaving, accepted.addr) || slices.Contains(leaving, accepted.server)) {
 				others++
 			}
 		}
@@ -135,15 +138,15 @@
 	return engines, others
 }
 
-// addresses replaces the names of entry nodes by their addresses.
-func (w *wave) addresses(names []string) []string {
-	out := slices.Clone(names)
-	for _, line := range w.lab.cluster.Addresses() {
+// withNodeAddrs returns the names with the addresses of the entry nodes among them appended.
+func (w *reclaimWaveRun) withNodeAddrs(names []string) []string {
+	namesAndAddrs := slices.Clone(names)
+	for _, line := range w.testbed.cluster.Addresses() {
 		fields := strings.Fields(line) // ready node=... addr=...
 		node, addr := strings.TrimPrefix(fields[1], "node="), strings.TrimPrefix(fields[2], "addr=")
 		if slices.Contains(names, node) {
-			out = append(out, addr)
+			namesAndAddrs = append(namesAndAddrs, addr)
 		}
 	}
-	return out
+	return namesAndAddrs
 }
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -9,59 +9,59 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms cover 1 us to 10 min with 3 significant digits.
+// Histograms cover 1 µs to 10 min with 3 significant digits.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// maxExamples bounds the descriptions of faulty answers in a report.
+// maxExamples limits the descriptions of faulty responses in a report.
 const maxExamples = 20
 
-// outcome is what became of one request.
+// outcome is the outcome of one request.
 type outcome struct {
-	request    *request
-	intended   time.Time
-	id         string
-	addr       string    // the entry node that accepted it
-	server     string    // the service that ran it, if its answer says so
-	sent       time.Time // of the accepted try
-	firstToken time.Time
-	lastToken  time.Time
-	ended      time.Time
-	tokens     []string
-	finish     string
-	received   int
-	accepted   bool
-	complete   bool
-	exact      bool
-	refusal    string // the last one
-	problem    string
-}
-
-// note keeps the first problem.
-func (o *outcome) note(problem string) {
+	request        *request
+	intendedAt     time.Time
+	id             string
+	addr           string    // the entry node that accepted it
+	server         string    // the service stand-in that ran it, if the response names one
+	sentAt         time.Time // of the accepted attempt
+	firstTokenAt   time.Time
+	lastTokenAt    time.Time
+	endedAt        time.Time
+	tokens         []string
+	finishReason   string
+	tokensReceived int
+	accepted       bool
+	complete       bool
+	exact          bool
+	lastRefusal    string // name of the last refusal
+	problem        string
+}
+
+// noteProblem records the first problem and ignores later ones.
+func (o *outcome) noteProblem(problem string) {
 	if o.problem == "" {
 		o.problem = problem
 	}
 }
 
-// check compares a stream with the expected answer, token by token.
-func (o *outcome) check() {
-	o.received = len(o.tokens)
+// checkStream compares a stream with the expected response, token by token.
+func (o *outcome) checkStream() {
+	o.tokensReceived = len(o.tokens)
 	if !o.complete {
-		o.note(fmt.Sprintf("incomplete: %d of %d tokens", len(o.tokens), len(o.request.want)))
+		o.noteProblem(fmt.Sprintf("incomplete: %d of %d tokens", len(o.tokens), len(o.request.wantTokens)))
 		return
 	}
-	if i := firstDifference(o.tokens, o.request.want); i >= 0 {
-		o.problem = fmt.Sprintf("token %d differs; %d tokens, want %d", i+1, len(o.tokens), len(o.request.want))
+	if i := firstDifference(o.tokens, o.request.wantTokens); i >= 0 {
+		o.problem = fmt.Sprintf("token %d differs; %d tokens, want %d", i+1, len(o.tokens), len(o.request.wantTokens))
 		return
 	}
-	if o.finish != o.request.finish {
-		o.problem = fmt.Sprintf("finish reason %q, want %q", o.finish, o.request.finish)
+	if o.finishReason != o.request.wantFinishReason {
+		o.problem = fmt.Sprintf("finish reason %q, want %q", o.finishReason, o.request.wantFinishReason)
 		return
 	}
-	// A wrong event id would make a caller resume at the wrong token.
+	// A wrong event ID would make a caller resume at the wrong token.
 	o.exact = !strings.Contains(o.problem, "event id")
 }
 
@@ -75,7 +75,7 @@
 	return -1
 }
 
-// second is the work of one second of a run.
+// second has the counts of one second of a run.
 type second struct {
 	Tokens   int `json:"tokens"`
 	Complete int `json:"complete"`
@@ -84,38 +84,38 @@
 
 type classRecord struct {
 	requests, accepted, complete, exact int
-	first, gaps                         *hdrhistogram.Histogram
+	firstToken, tokenGaps               *hdrhistogram.Histogram
 }
 
-// recorder collects what the callers see.
+// recorder collects the results of all callers.
 type recorder struct {
-	mu        sync.Mutex
-	started   time.Time
-	classes   map[string]*classRecord
-	refusals  map[string]int
-	refusedMs map[string]*hdrhistogram.Histogram // time to a refusal of non-repeatable calls
-	claims    []claim
-	timeline  []second
-	examples  []string
-	accepts   []accepted
-	received  int
-	resumes   int
-	redirects int
-	resends   int
-}
-
-// accepted tells where a request was accepted and when that try was sent.
-type accepted struct {
+	mu               sync.Mutex
+	startedAt        time.Time
+	classes          map[string]*classRecord
+	refusals         map[string]int
+	refusalTimes     map[string]*hdrhistogram.Histogram // time to a refusal of non-repeatable calls
+	callAttempts     []callAttempt
+	timeline         []second
+	examples         []string
+	acceptedRequests []acceptedRequest
+	tokensReceived   int
+	resumes          int
+	redirects        int
+	resends          int
+}
+
+// acceptedRequest records where a request was accepted and when that attempt was sent.
+type acceptedRequest struct {
 	addr, server string
-	sent         time.Time
+	sentAt       time.Time
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		started:   time.Now(),
-		classes:   map[string]*classRecord{},
-		refusals:  map[string]int{},
-		refusedMs: map[string]*hdrhistogram.Histogram{},
+		startedAt:    time.Now(),
+		classes:      map[string]*classRecord{},
+		refusals:     map[string]int{},
+		refusalTimes: map[string]*hdrhistogram.Histogram{},
 	}
 }
 
@@ -127,62 +127,62 @@
 	_ = h.RecordValue(min(histogramMax, max(1, d.Microseconds())))
 }
 
-func (r *recorder) count(counter *int) {
+func (r *recorder) increment(counter *int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*counter++
 }
 
-func (r *recorder) refusal(name string) {
+func (r *recorder) countRefusal(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusals[name]++
-	r.at(time.Now()).Refused++
+	r.secondAt(time.Now()).Refused++
 }
 
-func (r *recorder) refusedIn(name string, took time.Duration) {
+func (r *recorder) recordRefusalTime(name string, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.refusedMs[name]
+	h := r.refusalTimes[name]
 	if h == nil {
 		h = newHistogram()
-		r.refusedMs[name] = h
+		r.refusalTimes[name] = h
 	}
-	record(h, took)
+	record(h, elapsed)
 }
 
-func (r *recorder) claim(c claim) {
+func (r *recorder) recordCallAttempt(c callAttempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.claims = append(r.claims, c)
+	r.callAttempts = append(r.callAttempts, c)
 }
 
-func (r *recorder) gap(class string, d time.Duration) {
+func (r *recorder) recordTokenGap(class string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.class(class).gaps, d)
+	record(r.classRecord(class).tokenGaps, d)
 }
 
-func (r *recorder) tokenAt(now time.Time) {
+func (r *recorder) countToken(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(now).Tokens++
+	r.secondAt(now).Tokens++
 }
 
-// at returns the second of a time; r.mu is held.
-func (r *recorder) at(now time.Time) *second {
-	i := int(now.Sub(r.started) / time.Second)
+// secondAt returns the counts of the second that contains now. The caller holds r.mu.
+func (r *recorder) secondAt(now time.Time) *second {
+	i := int(now.Sub(r.startedAt) / time.Second)
 	for len(r.timeline) <= i {
 		r.timeline = append(r.timeline, second{})
 	}
 	return &r.timeline[i]
 }
 
-// class returns the record of a class; r.mu is held.
-func (r *recorder) class(name string) *classRecord {
+// classRecord returns the record of a class and creates it if needed. The caller holds r.mu.
+func (r *recorder) classRecord(name string) *classRecord {
 	c := r.classes[name]
 	if c == nil {
-		c = &classRecord{first: newHistogram(), gaps: newHistogram()}
+		c = &classRecord{firstToken: newHistogram(), tokenGaps: newHistogram()}
 		r.classes[name] = c
 	}
 	return c
@@ -192,24 +192,24 @@
 func (r *recorder) finish(o *outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.class(o.request.class)
+	c := r.classRecord(o.request.class)
 	c.requests++
-	r.received += o.received
-	if !o.firstToken.IsZero() {
-		record(c.first, o.firstToken.Sub(o.intended))
+	r.tokensReceived += o.tokensReceived
+	if !o.firstTokenAt.IsZero() {
+		record(c.firstToken, o.firstTokenAt.Sub(o.intendedAt))
 	}
 	if o.accepted {
 		c.accepted++
-		r.accepts = append(r.accepts, accepted{o.addr, o.server, o.sent})
+		r.acceptedRequests = append(r.acceptedRequests, acceptedRequest{o.addr, o.server, o.sentAt})
 	}
 	if o.complete {
 		c.complete++
-		r.at(o.ended).Complete++
+		r.secondAt(o.endedAt).Complete++
 	}
 	if o.exact {
 		c.exact++
 	}
 	if o.accepted && !o.exact && len(r.examples) < maxExamples {
-		r.examples = append(r.examples, fmt.Sprintf("%s %s %s: %s", o.request.class, o.id, o.request.key, o.problem))
+		r.examples = append(r.examples, fmt.Sprintf("%s %s %s: %s", o.request.class, o.id, o.request.idempotencyKey, o.problem))
 	}
 }
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -32,7 +32,7 @@
 	Accepted int `json:"accepted"`
 	Complete int `json:"complete"`
 	Exact    int `json:"exact"`
-	// FirstToken counts from the intended start; for answers that come in one piece it is the whole answer.
+	// FirstToken counts from the intended start; for non-streamed responses it ends with the complete response.
 	FirstToken    Quantiles `json:"first_token"`
 	BetweenTokens Quantiles `json:"between_tokens"`
 }
@@ -58,10 +58,10 @@
 	Resends         int      `json:"resends"`
 	Broken          []string `json:"broken_promises"`
 
-	// Refusals count tries, not requests; connection_broken counts tries without an answer.
+	// Refusals counts attempts, not requests; connection_broken counts attempts without a response.
 	Refusals map[string]int         `json:"refusals"`
 	Classes  map[string]ClassReport `json:"classes"`
-	// RefusalTimes are the times to a refusal of non-repeatable calls.
+	// RefusalTimes has the times from sending a non-repeatable call to its refusal, by refusal name.
 	RefusalTimes map[string]Quantiles `json:"refusal_times,omitempty"`
 
 	TokensReceived   int     `json:"tokens_received"`
@@ -73,7 +73,7 @@
 	CostMicros       uint64  `json:"cost_micros"`
 	CostPerMillion   float64 `json:"cost_per_million_tokens"`
 
-	// Figures are those of one scenario.
+	// Figures has the results that are specific to one scenario.
 	Figures  map[string]float64 `json:"figures,omitempty"`
 	Timeline []second           `json:"timeline"`
 	Examples []string           `json:"examples,omitempty"`
@@ -96,7 +96,7 @@
 		Refusals:        maps.Clone(rec.refusals),
 		Classes:         map[string]ClassReport{},
 		RefusalTimes:    map[string]Quantiles{},
-		TokensReceived:  rec.received,
+		TokensReceived:  rec.tokensReceived,
 		Figures:         map[string]float64{},
 		Timeline:        rec.timeline,
 		Examples:        rec.examples,
@@ -104,10 +104,10 @@
 	for name, c := range rec.classes {
 		out.addClass(name, c)
 	}
-	for name, h := range rec.refusedMs {
+	for name, h := range rec.refusalTimes {
 		out.RefusalTimes[name] = quantiles(h)
 	}
-	out.judge()
+	out.checkGuarantees()
 	return out
 }
 
@@ -116,25 +116,25 @@
 	r.Accepted += c.accepted
 	r.Complete += c.complete
 	r.Exact += c.exact
-	r.Classes[name] = ClassReport{c.requests, c.accepted, c.complete, c.exact, quantiles(c.first), quantiles(c.gaps)}
+	r.Classes[name] = ClassReport{c.requests, c.accepted, c.complete, c.exact, quantiles(c.firstToken), quantiles(c.tokenGaps)}
 }
 
 func (r *Report) addTokens(before, after *stats) {
-	a, b := before.total(), after.total()
-	r.TokensGenerated = b.GeneratedTokens - a.GeneratedTokens
-	r.TokensPrefilled = b.PrefilledTokens - a.PrefilledTokens
-	r.TokensCached = b.CachedTokens - a.CachedTokens
-	r.TokensRecomputed = b.RecomputedTokens - a.RecomputedTokens
-	r.KVMoves = b.KVImports - a.KVImports
+	totalBefore, totalAfter := before.total(), after.total()
+	r.TokensGenerated = totalAfter.GeneratedTokens - totalBefore.GeneratedTokens
+	r.TokensPrefilled = totalAfter.PrefilledTokens - totalBefore.PrefilledTokens
+	r.TokensCached = totalAfter.CachedTokens - totalBefore.CachedTokens
+	r.TokensRecomputed = totalAfter.RecomputedTokens - totalBefore.RecomputedTokens
+	r.KVMoves = totalAfter.KVImports - totalBefore.KVImports
 	r.CostMicros = after.CostMicros - before.CostMicros
 	if r.TokensReceived > 0 {
-		// Micros per token are units per million tokens.
+		// Millionths of the currency unit per token equal currency units per million tokens.
 		r.CostPerMillion = float64(r.CostMicros) / float64(r.TokensReceived)
 	}
 }
 
-func (r *Report) addRuns(claims []claim, runs map[string][]string) {
-	repeated, wrong := checkRuns(claims, runs)
+func (r *Report) addRuns(attempts []callAttempt, runs map[string][]string) {
+	repeated, wrong := checkRuns(attempts, runs)
 	r.Repeated, r.WrongRan, r.RunsChecked = len(repeated), len(wrong), true
 	for _, text := range append(repeated, wrong...) {
 		if len(r.Examples) < maxExamples {
@@ -143,27 +143,27 @@
 	}
 }
 
-// judge lists the promises that every load must keep.
-func (r *Report) judge() {
+// checkGuarantees lists the violated guarantees among those that hold for every load.
+func (r *Report) checkGuarantees() {
 	r.Broken = nil
-	r.breaks(r.Accepted-r.Complete, "accepted requests without a complete answer")
-	r.breaks(r.Complete-r.Exact, "complete answers that differ from the expected one")
-	r.breaks(r.Repeated, "non-repeatable calls that ran more than once")
-	r.breaks(r.WrongRan, "wrong values of ran")
+	r.addViolation(r.Accepted-r.Complete, "accepted requests without a complete response")
+	r.addViolation(r.Complete-r.Exact, "complete responses that differ from the expected one")
+	r.addViolation(r.Repeated, "non-repeatable calls that ran more than once")
+	r.addViolation(r.WrongRan, "wrong values of ran")
 }
 
-// breaks notes a broken promise when the count is not zero.
-func (r *Report) breaks(count int, what string) {
+// addViolation adds a violated guarantee if the count is not zero.
+func (r *Report) addViolation(count int, description string) {
 	if count != 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d %s", count, what))
+		r.Broken = append(r.Broken, fmt.Sprintf("%d %s", count, description))
 	}
 }
 
-// Line is the report in one line.
+// Line returns the report as one line.
 func (r *Report) Line() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s mix=%s seed=%d requests=%d accepted=%d complete=%d exact=%d repeated=%s wrong_ran=%s recomputed=%d generated=%d resumes=%d redirects=%d dropped=%d",
-		r.Name, r.Mix, r.Seed, r.Requests, r.Accepted, r.Complete, r.Exact, r.checked(r.Repeated), r.checked(r.WrongRan),
+		r.Name, r.Mix, r.Seed, r.Requests, r.Accepted, r.Complete, r.Exact, r.checkedCount(r.Repeated), r.checkedCount(r.WrongRan),
 		r.TokensRecomputed, r.TokensGenerated, r.Resumes, r.Redirects, r.Dropped)
 	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
 		fmt.Fprintf(&out, " %s=%.4g", name, r.Figures[name])
@@ -174,8 +174,8 @@
 	return out.String()
 }
 
-// checked is the count, or a mark that there was no run log to compare with.
-func (r *Report) checked(count int) string {
+// checkedCount returns the count, or "unchecked" if there was no run log to compare with.
+func (r *Report) checkedCount(count int) string {
 	if !r.RunsChecked {
 		return "unchecked"
 	}
@@ -193,7 +193,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-// ReadJSON reads a report.
+// ReadJSON reads a report from a file.
 func ReadJSON(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ScenarioOptions configure a scenario.
+// ScenarioOptions configures a scenario.
 type ScenarioOptions struct {
 	Name string
 	Seed uint64
@@ -17,7 +17,6 @@
 	Outage time.Duration
 }
 
-// defaultOutage is the length of the store outage.
 const defaultOutage = 60 * time.Second
 
 var scenarios = map[string]func(context.Context, ScenarioOptions) (*Report, error){
@@ -31,7 +30,7 @@
 // Scenarios returns the names of all scenarios.
 func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-// RunScenario runs one scenario on a cluster in this process. The report lists the broken promises.
+// RunScenario runs one scenario on a cluster in this process. The report lists the violated guarantees.
 func RunScenario(ctx context.Context, opts ScenarioOptions) (*Report, error) {
 	run, ok := scenarios[opts.Name]
 	if !ok {
--- a/internal/bench/stream.go
+++ b/internal/bench/stream.go
@@ -16,22 +16,22 @@
 	maxLineBytes    = 1 << 20
 )
 
-// consume reads events until the stream ends or breaks.
-func (c *caller) consume(_ context.Context, out *outcome, res *http.Response) {
-	silence := time.AfterFunc(silenceLimit, func() { _ = res.Body.Close() })
-	defer silence.Stop()
+// readEvents reads events until the stream ends or is interrupted.
+func (c *caller) readEvents(_ context.Context, out *outcome, res *http.Response) {
+	idleTimer := time.AfterFunc(streamIdleTimeout, func() { _ = res.Body.Close() })
+	defer idleTimer.Stop()
 	defer res.Body.Close()
 	lines := bufio.NewScanner(res.Body)
 	lines.Buffer(make([]byte, 0, lineBufferBytes), maxLineBytes)
-	var events eventReader
-	for out.ended.IsZero() && lines.Scan() {
-		silence.Reset(silenceLimit)
-		c.take(out, &events, lines.Bytes())
+	var event eventFields
+	for out.endedAt.IsZero() && lines.Scan() {
+		idleTimer.Reset(streamIdleTimeout)
+		c.handleLine(out, &event, lines.Bytes())
 	}
 }
 
-// eventReader joins the lines of one server-sent event.
-type eventReader struct {
+// eventFields has the fields of the server-sent event that is being read.
+type eventFields struct {
 	id, name string
 }
 
@@ -43,58 +43,58 @@
 	}
 }
 
-// take handles one line of a stream.
-func (c *caller) take(out *outcome, e *eventReader, line []byte) {
+// handleLine handles one line of a stream.
+func (c *caller) handleLine(out *outcome, event *eventFields, line []byte) {
 	switch {
 	case bytes.HasPrefix(line, []byte("id: ")):
-		e.id = string(line[len("id: "):])
+		event.id = string(line[len("id: "):])
 	case bytes.HasPrefix(line, []byte("event: ")):
-		e.name = string(line[len("event: "):])
+		event.name = string(line[len("event: "):])
 	case bytes.HasPrefix(line, []byte("data: ")):
-		c.data(out, e, line[len("data: "):])
-		e.name = ""
+		c.handleData(out, event, line[len("data: "):])
+		event.name = ""
 	}
 }
 
-func (c *caller) data(out *outcome, e *eventReader, data []byte) {
+func (c *caller) handleData(out *outcome, event *eventFields, data []byte) {
 	now := time.Now()
-	if e.name == "error" {
+	if event.name == "error" {
 		refusal := parseRefusal(data, http.StatusOK)
-		c.rec.refusal(refusal.Name)
-		out.refusal = refusal.Name
-		out.note("the stream ended with the error " + refusal.Name)
-		out.ended = now
+		c.rec.countRefusal(refusal.Name)
+		out.lastRefusal = refusal.Name
+		out.noteProblem("the stream ended with the error " + refusal.Name)
+		out.endedAt = now
 		return
 	}
 	if string(data) == "[DONE]" {
 		out.complete = true
-		out.ended = now
+		out.endedAt = now
 		return
 	}
-	var event chunk
-	if err := json.Unmarshal(data, &event); err != nil || len(event.Choices) != 1 {
-		out.note(fmt.Sprintf("event %s is no completion chunk", e.id))
+	var payload chunk
+	if err := json.Unmarshal(data, &payload); err != nil || len(payload.Choices) != 1 {
+		out.noteProblem(fmt.Sprintf("event %s is not a completion chunk", event.id))
 		return
 	}
-	choice := event.Choices[0]
+	choice := payload.Choices[0]
 	if choice.FinishReason != nil {
-		out.finish = *choice.FinishReason
+		out.finishReason = *choice.FinishReason
 		return
 	}
-	c.token(out, e.id, choice.Delta.Content, now)
+	c.handleToken(out, event.id, choice.Delta.Content, now)
 }
 
-// token adds one token, whose event id must be its number.
-func (c *caller) token(out *outcome, id, text string, now time.Time) {
+// handleToken records one token, whose event ID must be its number, counted from 1.
+func (c *caller) handleToken(out *outcome, id, text string, now time.Time) {
 	out.tokens = append(out.tokens, text)
 	if id != strconv.Itoa(len(out.tokens)) {
-		out.note(fmt.Sprintf("token %d came with event id %s", len(out.tokens), id))
+		out.noteProblem(fmt.Sprintf("token %d came with event id %s", len(out.tokens), id))
 	}
-	if out.firstToken.IsZero() {
-		out.firstToken = now
+	if out.firstTokenAt.IsZero() {
+		out.firstTokenAt = now
 	} else {
-		c.rec.gap(out.request.class, now.Sub(out.lastToken))
+		c.rec.recordTokenGap(out.request.class, now.Sub(out.lastTokenAt))
 	}
-	out.lastToken = now
-	c.rec.tokenAt(now)
+	out.lastTokenAt = now
+	c.rec.countToken(now)
 }
--- a/internal/bench/sweep.go
+++ b/internal/bench/sweep.go
@@ -16,18 +16,18 @@
 	"github.com/pollenlug/pollenlug/pkg/route"
 )
 
-// Engines of the sweep: slow enough that the load generator and the entry nodes, which share the machine with them,
-// are no bottleneck, and with a cache that does not hold all prefixes.
+// Engines of the sweep. They are slow enough that the load generator and the entry nodes, which share the machine with
+// them, are not the bottleneck, and their caches cannot hold all prefixes.
 const (
-	sweepEngines     = 8
-	sweepStep        = 20 * time.Millisecond
-	sweepPerSequence = 500 * time.Microsecond
-	sweepBatch       = 16
-	sweepPrefill     = 8000 // tokens per second
-	sweepCache       = 24_000
-	sweepPatience    = time.Minute
-	// sweepAnswer shortens the answers of windwijzer, in tokens, so that a run of some seconds reaches a steady state.
-	sweepAnswer = 160
+	sweepEngines         = 8
+	sweepDecodeStep      = 20 * time.Millisecond
+	sweepStepPerSequence = 500 * time.Microsecond
+	sweepMaxBatch        = 16
+	sweepPrefillRate     = 8000 // tokens per second
+	sweepCacheTokens     = 24_000
+	sweepTimeout         = time.Minute
+	// sweepResponseTokens shortens the responses of windwijzer so that a run of some seconds reaches a steady state.
+	sweepResponseTokens = 160
 )
 
 // Latency target of the built-in folder for 95 in 100 requests, in milliseconds.
@@ -38,14 +38,14 @@
 
 var (
 	sweepPolicies = []route.Policy{route.RoundRobin, route.LeastLoaded, route.PrefixOnly, route.CostAware}
-	// SweepLoads are the loads of a whole sweep, in percent of capacity.
+	// SweepLoads has the default loads of a sweep, in percent of capacity.
 	SweepLoads = []int{50, 80, 100}
 )
 
-// SweepOptions configure a sweep over the routing policies.
+// SweepOptions configures a sweep over the routing policies.
 type SweepOptions struct {
 	Seed uint64
-	// Duration is the length of each run.
+	// Duration is the duration of each run.
 	Duration time.Duration
 	// Loads are in percent of capacity; empty means SweepLoads.
 	Loads []int
@@ -68,9 +68,9 @@
 // WriteJSON writes all reports to a file.
 func (s *Sweep) WriteJSON(path string) error { return writeJSON(path, s) }
 
-// RunSweep runs both mixes at 50, 80 and 100% of capacity with each policy and prints a table on out, and a line for each
-// run on progress. The fleet is the same in
-// all runs, so its cost per token differs only by the tokens that arrive.
+// RunSweep runs both mixes at each load, by default 50, 80 and 100% of capacity, with each routing policy. It prints a
+// table to out and a line for each run to progress. The fleet is the same in all runs, so the cost per token differs
+// only by the number of received tokens.
 func RunSweep(ctx context.Context, opts SweepOptions, out, progress io.Writer) (*Sweep, error) {
 	sweep := &Sweep{}
 	if len(opts.Loads) == 0 {
@@ -79,7 +79,7 @@
 	for _, mix := range []string{Windwijzer, Oleaje} {
 		for _, load := range opts.Loads {
 			for _, policy := range sweepPolicies {
-				run, err := sweepOnce(ctx, opts, mix, load, policy)
+				run, err := runSweepPoint(ctx, opts, mix, load, policy)
 				if err != nil {
 					return nil, err
 				}
@@ -92,99 +92,99 @@
 	return sweep, nil
 }
 
-func sweepOnce(ctx context.Context, opts SweepOptions, mix string, percent int, policy route.Policy) (*SweepRun, error) {
-	l, err := startLab(devcluster.Options{
+func runSweepPoint(ctx context.Context, opts SweepOptions, mix string, percent int, policy route.Policy) (*SweepRun, error) {
+	tb, err := startTestbed(devcluster.Options{
 		Seed:   opts.Seed,
 		Policy: string(policy),
-		Tune:   slowEngines(sweepStep, sweepPerSequence, sweepBatch, sweepPrefill, sweepCache),
+		Tune:   engineSpeed(sweepDecodeStep, sweepStepPerSequence, sweepMaxBatch, sweepPrefillRate, sweepCacheTokens),
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer l.stop()
-	if err := l.stateBatch(ctx); err != nil {
+	defer tb.stop()
+	if err := tb.setBatchSize(ctx); err != nil {
 		return nil, err
 	}
-	o := l.load(mix, 0, opts.Duration, opts.Seed)
+	load := tb.loadOptions(mix, 0, opts.Duration, opts.Seed)
 	if mix == Windwijzer {
-		o.LongAnswers = sweepAnswer
+		load.LongAnswers = sweepResponseTokens
 	}
-	o.Rate = float64(percent) / 100 * capacity(o)
-	o.Patience = sweepPatience
-	run, report, err := l.play(ctx, o, nil)
+	load.Rate = float64(percent) / 100 * capacity(load)
+	load.Patience = sweepTimeout
+	run, report, err := tb.runLoad(ctx, load, nil)
 	if err != nil {
 		return nil, err
 	}
 	report.Name, report.Policy = "sweep", string(policy)
-	first, between := run.rec.streams()
+	first, between := run.rec.streamLatencies()
 	return &SweepRun{string(policy), percent, first, between, report}, nil
 }
 
-// sweepGroup tells the router how many requests the engines of the sweep run at a time.
-const sweepGroup = `{"backend_groups":[{"name":"assistant","override":true,"kind":"MODEL_ENGINE","checks_fencing":true,` +
+// sweepBackendGroup sets the number of concurrent requests of a sweep engine for the router.
+const sweepBackendGroup = `{"backend_groups":[{"name":"assistant","override":true,"kind":"MODEL_ENGINE","checks_fencing":true,` +
 	`"instance_classes":["gpu"],"min_servers":1,"concurrency":%d}]}`
 
-// sweepConfigWait is how long the nodes may take to put the edited folder into force.
+// sweepConfigWait is how long the nodes have to apply the edited folder.
 const sweepConfigWait = 3 * time.Second
 
-// stateBatch edits the folder, so that it states the batch size of the engines.
-func (l *lab) stateBatch(ctx context.Context) error {
-	req := devcluster.FaultRequest{File: "25-sweep.json", Content: fmt.Sprintf(sweepGroup, sweepBatch)}
-	if err := callFault(ctx, http.MethodPost, l.fault, "/folder", req, nil); err != nil {
+// setBatchSize edits the folder to set the batch size of the engines as their concurrency.
+func (tb *testbed) setBatchSize(ctx context.Context) error {
+	req := devcluster.FaultRequest{File: "25-sweep.json", Content: fmt.Sprintf(sweepBackendGroup, sweepMaxBatch)}
+	if err := callFaultAPI(ctx, http.MethodPost, tb.faultAddr, "/folder", req, nil); err != nil {
 		return err
 	}
 	clock.Sleep(ctx, sweepConfigWait)
-	return l.checkBatch()
+	return tb.verifyBatchSize()
 }
 
-// checkBatch makes sure that the edit is in force on every node.
-func (l *lab) checkBatch() error {
-	for i := range labNodes {
-		group, ok := l.cluster.Node(i).Config().Group("assistant")
-		if !ok || group.Concurrency != sweepBatch {
-			return fmt.Errorf("bench: entry node %d has not put the batch size into force", i+1)
+// verifyBatchSize returns an error if the edit is not in force on every node.
+func (tb *testbed) verifyBatchSize() error {
+	for i := range testbedNodes {
+		group, ok := tb.cluster.Node(i).Config().Group("assistant")
+		if !ok || group.Concurrency != sweepMaxBatch {
+			return fmt.Errorf("bench: batch size is not in force on entry node %d", i+1)
 		}
 	}
 	return nil
 }
 
-// streams merges the latencies of all classes that generate tokens.
-func (r *recorder) streams() (first, between Quantiles) {
+// streamLatencies merges the latencies of all classes with streamed responses.
+func (r *recorder) streamLatencies() (first, between Quantiles) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a, b := newHistogram(), newHistogram()
+	firstToken, tokenGaps := newHistogram(), newHistogram()
 	for _, c := range r.classes {
-		if c.gaps.TotalCount() > 0 {
-			a.Merge(c.first)
-			b.Merge(c.gaps)
+		if c.tokenGaps.TotalCount() > 0 {
+			firstToken.Merge(c.firstToken)
+			tokenGaps.Merge(c.tokenGaps)
 		}
 	}
-	return quantiles(a), quantiles(b)
+	return quantiles(firstToken), quantiles(tokenGaps)
 }
 
-// capacity returns the arrivals per second of a load that all engines together can take with full batches when the long
-// prefixes are found in the cache. A request costs its share of the steps and its own prefill.
+// capacity returns the arrivals per second of a load that all engines together can serve with full batches if the long
+// prefixes are cached. A request costs its share of the decode steps and the prefill of its uncached tokens.
 func capacity(opts Options) float64 {
 	const sample = 2000
-	src, err := newSource(opts, "")
+	src, err := newRequestSource(opts, "")
 	if err != nil {
 		return 0
 	}
-	step := sweepStep + sweepBatch*sweepPerSequence
+	step := sweepDecodeStep + sweepMaxBatch*sweepStepPerSequence
 	seconds := 0.0
 	for range sample {
 		r := src.next()
-		if r.want == nil {
+		if r.wantTokens == nil {
 			continue
 		}
-		seconds += float64(len(r.want)) * step.Seconds() / sweepBatch
-		seconds += float64(ownTokens) / sweepPrefill
+		seconds += float64(len(r.wantTokens)) * step.Seconds() / sweepMaxBatch
+		seconds += float64(uncachedPromptTokens) / sweepPrefillRate
 	}
 	return sample / seconds * sweepEngines
 }
 
-// ownTokens is about the length of a prompt without its shared prefix.
-const ownTokens = 20
+// uncachedPromptTokens is the approximate length of a prompt without its shared prefix.
+const uncachedPromptTokens = 20
 
 func (s *Sweep) print(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -193,14 +193,15 @@
 		r := run.Report
 		fmt.Fprintf(table, "%s\t%d%%\t%s\t%.1f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n",
 			r.Mix, run.Percent, run.Policy, r.Rate, run.First.P50, run.First.P95, run.First.P99,
-			run.Between.P50, run.Between.P95, run.Between.P99, r.CostPerMillion, run.target(),
+			run.Between.P50, run.Between.P95, run.Between.P99, r.CostPerMillion, run.metTarget(),
 			r.TokensPrefilled, r.TokensCached, r.TokensRecomputed, r.Accepted, r.Exact, refusalText(r.Refusals))
 	}
 	_ = table.Flush()
 }
 
-// target tells whether the run met the latency target; a cost counts only then.
-func (r *SweepRun) target() string {
+// metTarget returns "yes" if the run met the latency target and "no" otherwise. Costs are comparable only between runs
+// that met it.
+func (r *SweepRun) metTarget() string {
 	if r.First.P95 <= targetFirstMs && r.Between.P95 <= targetBetweenMs {
 		return "yes"
 	}
