--- a/cmd/pollenlug/main.go
+++ b/cmd/pollenlug/main.go
@@ -1,4 +1,4 @@
-// Command pollenlug is the one binary of the system; see package cli for its commands.
+// Command pollenlug is the only binary of the system. Package cli defines its subcommands.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,7 +12,7 @@
 const (
 	ExitOK    = 0
 	ExitFault = 1 // the command ran and found a fault
-	ExitUsage = 2 // the command line or a setting is wrong
+	ExitUsage = 2 // the command line or a setting is invalid
 )
 
 // Version is the release of the binary.
@@ -20,27 +20,28 @@
 
 // command is one subcommand; run returns an exit code.
 type command struct {
-	parsed *flaggy.Subcommand
-	run    func(stdout, stderr io.Writer) int
+	subcommand *flaggy.Subcommand
+	run        func(stdout, stderr io.Writer) int
 }
 
-// Main runs one command and returns its exit code. A wrong command line prints the help and exits with ExitUsage.
+// Main runs one command and returns its exit code. An invalid command line prints an error, or the help if no command
+// is given, and returns ExitUsage.
 func Main(args []string, stdout, stderr io.Writer) int {
 	parser := flaggy.NewParser("pollenlug")
 	parser.Description = "Serves language models and plain services on reclaimable instances. " +
-		"Exit codes: 0 success, 1 the command found a fault, 2 wrong command line or setting."
+		"Exit codes: 0 success, 1 the command found a fault, 2 invalid command line or setting."
 	parser.Version = Version
 	parser.ShowCompletion = false
 	commands := []*command{devCommand(), serveCommand(), edgeCommand(), standinCommand(), configCommand(), benchCommand(), explainCommand(), keysCommand(), versionCommand()}
 	for _, c := range commands {
-		parser.AttachSubcommand(c.parsed, 1)
+		parser.AttachSubcommand(c.subcommand, 1)
 	}
 	if err := parser.ParseArgs(args); err != nil {
 		fmt.Fprintln(stderr, "pollenlug:", err)
 		return ExitUsage
 	}
 	for _, c := range commands {
-		if c.parsed.Used {
+		if c.subcommand.Used {
 			return c.run(stdout, stderr)
 		}
 	}
@@ -49,8 +50,8 @@
 }
 
 func newCommand(name, description string) *command {
-	c := &command{parsed: flaggy.NewSubcommand(name)}
-	c.parsed.Description = description
+	c := &command{subcommand: flaggy.NewSubcommand(name)}
+	c.subcommand.Description = description
 	return c
 }
 
@@ -64,14 +65,14 @@
 }
 
 func configCommand() *command {
-	c := newCommand("config", "Works on an operators' folder, or on the files of the users' platform.")
+	c := newCommand("config", "Processes an operators' folder, or files of the users' platform.")
 	check := flaggy.NewSubcommand("check")
-	check.Description = "Merges the folder and prints the result, or each fault as file: field: reason."
+	check.Description = "Merges the folder and prints the merged configuration, or each fault as file: field: reason."
 	dir, platformFiles := "", platformFiles{}
 	check.AddPositionalValue(&dir, "DIR", 1, false, "The folder.")
-	check.String(&platformFiles.settings, "s", "settings", "A settings file of the platform to check.")
-	check.String(&platformFiles.row, "r", "row", "A file with a configuration row of the platform's store to check.")
-	c.parsed.AttachSubcommand(check, 1)
+	check.String(&platformFiles.settingsPath, "s", "settings", "A settings file of the platform to check.")
+	check.String(&platformFiles.rowPath, "r", "row", "A file with a configuration row of the platform's store to check.")
+	c.subcommand.AttachSubcommand(check, 1)
 	c.run = func(stdout, stderr io.Writer) int {
 		if !check.Used || (dir == "") == (platformFiles == noPlatformFiles) {
 			fmt.Fprintln(stderr, "usage: pollenlug config check DIR, or pollenlug config check [--settings FILE] [--row FILE]")
--- a/internal/cli/configcheck.go
+++ b/internal/cli/configcheck.go
@@ -9,8 +9,8 @@
 	"github.com/pollenlug/pollenlug/platform"
 )
 
-// RunConfigCheck merges and validates the operators' folder in dir. It prints the merged result as JSON, or each
-// fault as "file: field: reason". A directory that cannot be read is a fault of the folder.
+// RunConfigCheck merges and validates the operators' folder in dir. It prints the merged configuration as JSON, or each
+// fault as "file: field: reason", and returns the exit code. A directory that cannot be read is a fault of the folder.
 func RunConfigCheck(dir string, stdout io.Writer) int {
 	files, err := config.LoadDir(dir)
 	if err != nil {
@@ -35,38 +35,39 @@
 	return ExitOK
 }
 
-// platformFiles are files of the users' platform; an empty path is not checked.
-type platformFiles struct{ settings, row string }
+// platformFiles has the paths of platform files to check; an empty path is skipped.
+type platformFiles struct{ settingsPath, rowPath string }
 
 var noPlatformFiles platformFiles
 
-// RunPlatformCheck checks files as a node reads them. It prints each fault as "file: field: reason".
+// RunPlatformCheck checks files with the decoders that a node uses. It prints each fault as "file: field: reason" and
+// returns the exit code.
 func RunPlatformCheck(files platformFiles, stdout io.Writer) int {
-	result := ExitOK
+	exitCode := ExitOK
 	report := func(fault any) {
-		result = ExitFault
+		exitCode = ExitFault
 		fmt.Fprintln(stdout, fault)
 	}
-	if files.settings != "" {
-		if _, err := platform.LoadSettings(files.settings); err != nil {
+	if files.settingsPath != "" {
+		if _, err := platform.LoadSettings(files.settingsPath); err != nil {
 			report(err)
 		}
 	}
-	if files.row == "" {
-		return result
+	if files.rowPath == "" {
+		return exitCode
 	}
-	data, err := os.ReadFile(files.row)
+	data, err := os.ReadFile(files.rowPath)
 	if err != nil {
 		report(err)
-		return result
+		return exitCode
 	}
-	c, err := platform.DecodeConfig(data)
+	cfg, err := platform.DecodeConfig(data)
 	if err != nil {
-		report(fmt.Sprintf("%s: %v", files.row, err))
-		return result
+		report(fmt.Sprintf("%s: %v", files.rowPath, err))
+		return exitCode
 	}
-	for _, fault := range c.Faults() {
-		report(fmt.Sprintf("%s: %v", files.row, fault))
+	for _, fault := range cfg.Faults() {
+		report(fmt.Sprintf("%s: %v", files.rowPath, fault))
 	}
-	return result
+	return exitCode
 }
--- a/internal/cli/configcheck_test.go
+++ b/internal/cli/configcheck_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/golden"
 )
 
-// Guards against a changed output or exit code of `config check`, on which operators' scripts rely.
+// Guards against changes in the output or exit code of `config check`, on which operators' scripts rely.
 func TestConfigCheck(t *testing.T) {
 	var good strings.Builder
 	assert.Equal(t, RunConfigCheck("../../examples/oleaje", &good), ExitOK)
 	golden.Assert(t, good.String(), "configcheck-oleaje.golden")
 
 	dir := t.TempDir()
-	first := `{"models": [{"name": "m", "backend_group": "none", "context_tokens": 1}]}`
-	assert.NilError(t, os.WriteFile(filepath.Join(dir, "10.json"), []byte(first), 0o600))
+	file := `{"models": [{"name": "m", "backend_group": "none", "context_tokens": 1}]}`
+	assert.NilError(t, os.WriteFile(filepath.Join(dir, "10.json"), []byte(file), 0o600))
 	var bad strings.Builder
 	assert.Equal(t, RunConfigCheck(dir, &bad), ExitFault)
 	golden.Assert(t, bad.String(), "configcheck-faults.golden")
@@ -28,7 +28,7 @@
 	assert.Assert(t, strings.HasPrefix(missing.String(), "(folder): (file): read configuration directory: "))
 }
 
-// Guards against a row or a settings file that is checked with success, or without a word on the field, and then fails.
+// Guards against an invalid row or settings file that passes the check, or whose fault does not name the field.
 func TestPlatformCheck(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -42,15 +42,15 @@
 		return strings.ReplaceAll(out.String(), dir+"/", ""), code
 	}
 	route := `{"name":"r","hostname":"h.example","prefix":"/x/","route_kind":"idempotent","service":"s"}`
-	out, exit := check(platformFiles{row: write("good.json", `{"version":1,"routes":[`+route+`],"services":[{"name":"s"}]}`)})
+	out, exit := check(platformFiles{rowPath: write("good.json", `{"version":1,"routes":[`+route+`],"services":[{"name":"s"}]}`)})
 	assert.Equal(t, out, "")
 	assert.Equal(t, exit, ExitOK)
-	out, exit = check(platformFiles{row: write("bad.json", `{"version":1,"routes":[`+route+`]}`)})
+	out, exit = check(platformFiles{rowPath: write("bad.json", `{"version":1,"routes":[`+route+`]}`)})
 	assert.Equal(t, out, "bad.json: routes.r.service: \"s\" is not configured\n")
 	assert.Equal(t, exit, ExitFault)
-	out, _ = check(platformFiles{row: write("kind.json", `{"version":1,"routes":[{"name":"r","route_kind":"odd"}]}`)})
+	out, _ = check(platformFiles{rowPath: write("kind.json", `{"version":1,"routes":[{"name":"r","route_kind":"odd"}]}`)})
 	assert.Equal(t, out, "kind.json: configuration: routes[0]: route_kind: \"odd\" is unknown\n")
-	out, exit = check(platformFiles{settings: write("settings.json", `{"node_name":"n"}`)})
+	out, exit = check(platformFiles{settingsPath: write("settings.json", `{"node_name":"n"}`)})
 	assert.Equal(t, out, "settings.json: internal_ports: is missing\n")
 	assert.Equal(t, exit, ExitFault)
 }
--- a/internal/cli/edge.go
+++ b/internal/cli/edge.go
@@ -16,24 +16,24 @@
 	"github.com/pollenlug/pollenlug/platform"
 )
 
-// settingsPoll is how often a settings file is read that may change without a signal.
-const settingsPoll = 5 * time.Second
+// settingsPollInterval is how often the settings file is read again, because it may change without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// reloadOnHangup reads the settings file again after SIGHUP, and now and then without one, until ctx ends.
-func reloadOnHangup(ctx context.Context, hangup <-chan os.Signal, path string, node *edge.Node, log *logrus.Entry) {
-	ticker := time.NewTicker(settingsPoll)
+// reloadSettings reloads the settings file after each SIGHUP and every settingsPollInterval until ctx ends.
+func reloadSettings(ctx context.Context, sighup <-chan os.Signal, path string, node *edge.Node, log *logrus.Entry) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
-			log.Info("hangup signal received; settings are read again")
+		case <-sighup:
+			log.Info("SIGHUP received; reloading settings")
 		case <-ticker.C:
 		}
 		s, err := platform.LoadSettings(path)
 		if err != nil {
-			log.WithError(err).Error("settings cannot be read; those before stay in force")
+			log.WithError(err).Error("reloading settings failed; keeping the previous settings")
 			continue
 		}
 		node.Reload(s)
@@ -41,14 +41,14 @@
 }
 
 func edgeCommand() *command {
-	c := newCommand("edge", "Runs one node on the users' platform. The settings file is that of the platform.")
+	c := newCommand("edge", "Runs one node on the users' platform, with the platform's settings file.")
 	path, level := os.Getenv(platform.SettingsVariable), "info"
-	c.parsed.String(&path, "s", "settings", "The platform's settings file; default: the path in "+platform.SettingsVariable+".")
-	c.parsed.String(&level, "l", "log-level", "debug, info, warning or error.")
+	c.subcommand.String(&path, "s", "settings", "The platform's settings file; default: the path in "+platform.SettingsVariable+".")
+	c.subcommand.String(&level, "l", "log-level", "debug, info, warning or error.")
 	c.run = func(stdout, stderr io.Writer) int {
-		hangup := make(chan os.Signal, 1)
-		signal.Notify(hangup, syscall.SIGHUP) // before anything else: the default action ends the process
-		defer signal.Stop(hangup)
+		sighup := make(chan os.Signal, 1)
+		signal.Notify(sighup, syscall.SIGHUP) // first, because the default action of SIGHUP ends the process
+		defer signal.Stop(sighup)
 		s, err := platform.LoadSettings(path)
 		if err != nil {
 			return fail(stderr, err)
@@ -58,10 +58,10 @@
 		logger := settings.Logger(level)
 		logger.SetOutput(sink)
 		log := logrus.NewEntry(logger).WithField("node", s.Node)
-		ctx, stop := signals()
+		ctx, stop := signalContext()
 		defer stop()
 		node := platform.NewNode(s, log)
-		go reloadOnHangup(ctx, hangup, path, node, log)
+		go reloadSettings(ctx, sighup, path, node, log)
 		if err := node.Run(ctx); err != nil {
 			log.WithError(err).Error("node failed")
 			return ExitFault
--- a/internal/cli/edge_test.go
+++ b/internal/cli/edge_test.go
@@ -13,39 +13,39 @@
 	"github.com/pollenlug/pollenlug/platform/standin"
 )
 
-// Guards against a change of the settings file, or a hangup without one, that ends the process.
-func TestEdgeReadsSettingsAgainOnHangup(t *testing.T) {
+// Guards against a SIGHUP without a change of the settings file that ends the process instead of reloading the settings.
+func TestEdgeReloadsSettingsOnSIGHUP(t *testing.T) {
 	store := httptest.NewServer(standin.NewStore())
 	defer store.Close()
 	defer store.CloseClientConnections()
 	addr := store.Listener.Addr().String()
-	settings := filepath.Join(t.TempDir(), "boot.json")
-	writeJSON(t, settings, map[string]any{"node_name": "n", "ip": "127.0.0.1", "zone": "z", "seed_nodes": []string{},
+	settingsPath := filepath.Join(t.TempDir(), "boot.json")
+	writeJSON(t, settingsPath, map[string]any{"node_name": "n", "ip": "127.0.0.1", "zone": "z", "seed_nodes": []string{},
 		"listen":         map[string]string{"frontend": freeAddr(t), "ready": freeAddr(t), "control_plane": freeAddr(t), "registry": freeAddr(t)},
 		"internal_ports": []int{17600, 17603}, "limits": map[string]any{"memory_mb": 256}, "heartbeat_ms": 500,
 		"bounds":   map[string]any{"drain_ms": 2000, "grace_s": 1, "retry_window_s": 10, "lease_ms": 3000, "usage_window_s": 5, "usage_delay_s": 10, "ttl_max_s": 5},
 		"platform": map[string]string{"address": addr}, "cloud_api": map[string]string{"address": addr}})
-	cmd, out := start(t, "edge", "--settings", settings)
-	wait := func(text string) {
+	cmd, out := startProcess(t, "edge", "--settings", settingsPath)
+	waitForOutput := func(text string) {
 		t.Helper()
 		for out.Scan() {
 			if strings.Contains(out.Text(), text) {
 				return
 			}
 		}
-		t.Fatalf("the process ended before it said %q", text)
+		t.Fatalf("the process ended without logging %q", text)
 	}
-	wait("node started")
+	waitForOutput("node started")
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGHUP))
-	wait("settings are read again")
+	waitForOutput("SIGHUP received; reloading settings")
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGTERM))
-	wait("node stopped")
+	waitForOutput("node stopped")
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	select {
 	case err := <-done:
 		assert.NilError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the process does not end")
+		t.Fatal("the process did not end within 5 s")
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,15 +12,15 @@
 var errNoLogs = errors.New("explain: --log is missing")
 
 func explainCommand() *command {
-	c := newCommand("explain", "Reads log files of nodes and explains one request, or shows what the nodes believed between two times. "+
+	c := newCommand("explain", "Reads log files of nodes and explains one request, or shows the events known to the nodes between two times. "+
 		"Without --request it prints the timeline.")
-	id, from, to, asJSON := "", "", "", false
+	attemptID, from, to, asJSON := "", "", "", false
 	var paths []string
-	c.parsed.StringSlice(&paths, "l", "log", "A log file, or a directory whose files that end in .log are read. May be repeated.")
-	c.parsed.String(&id, "r", "request", "The id of the request's attempt.")
-	c.parsed.String(&from, "f", "from", "Begin of the timeline, like 2006-01-02T15:04:05Z or 15:04:05.")
-	c.parsed.String(&to, "t", "to", "End of the timeline.")
-	c.parsed.Bool(&asJSON, "j", "json", "Prints JSON.")
+	c.subcommand.StringSlice(&paths, "l", "log", "A log file, or a directory whose .log files are read. May be repeated.")
+	c.subcommand.String(&attemptID, "r", "request", "The attempt ID of the request.")
+	c.subcommand.String(&from, "f", "from", "Start of the timeline, like 2006-01-02T15:04:05Z or 15:04:05.")
+	c.subcommand.String(&to, "t", "to", "End of the timeline.")
+	c.subcommand.Bool(&asJSON, "j", "json", "Prints JSON.")
 	c.run = func(stdout, stderr io.Writer) int {
 		if len(paths) == 0 {
 			return fail(stderr, errNoLogs)
@@ -29,11 +29,11 @@
 		if err != nil {
 			return fail(stderr, err)
 		}
-		defer warnOfGaps(stderr, log)
-		if id != "" {
-			return explainRequest(stdout, stderr, log, id, asJSON)
+		defer warnIncompleteLogs(stderr, log)
+		if attemptID != "" {
+			return explainRequest(stdout, stderr, log, attemptID, asJSON)
 		}
-		begin, err := log.ParseTime(from)
+		start, err := log.ParseTime(from)
 		if err != nil {
 			return fail(stderr, err)
 		}
@@ -41,41 +41,41 @@
 		if err != nil {
 			return fail(stderr, err)
 		}
-		lines := log.Timeline(begin, end)
+		lines := log.Timeline(start, end)
 		if asJSON {
 			return printJSON(stdout, stderr, lines)
 		}
-		return exitOf(stderr, explain.PrintTimeline(stdout, lines))
+		return exitCodeOf(stderr, explain.PrintTimeline(stdout, lines))
 	}
 	return c
 }
 
-func explainRequest(stdout, stderr io.Writer, log *explain.Log, id string, asJSON bool) int {
-	attempts := log.Request(id)
+func explainRequest(stdout, stderr io.Writer, log *explain.Log, attemptID string, asJSON bool) int {
+	attempts := log.Request(attemptID)
 	if len(attempts) == 0 {
-		fmt.Fprintf(stderr, "pollenlug: no node has logged attempt %s; it did not reach one whose log is here\n", id)
+		fmt.Fprintf(stderr, "pollenlug: attempt %s is in none of the logs; it did not reach any of these nodes\n", attemptID)
 		return ExitFault
 	}
 	if asJSON {
 		return printJSON(stdout, stderr, attempts)
 	}
-	return exitOf(stderr, explain.PrintRequest(stdout, attempts))
+	return exitCodeOf(stderr, explain.PrintRequest(stdout, attempts))
 }
 
-// warnOfGaps tells what the logs lack, so that a missing line is not taken for proof.
-func warnOfGaps(stderr io.Writer, log *explain.Log) {
+// warnIncompleteLogs reports unreadable and dropped lines, so that the absence of a line is not taken as evidence.
+func warnIncompleteLogs(stderr io.Writer, log *explain.Log) {
 	if log.Unreadable > 0 || log.Dropped > 0 {
-		fmt.Fprintf(stderr, "pollenlug: %d lines cannot be read, %d were dropped by nodes\n", log.Unreadable, log.Dropped)
+		fmt.Fprintf(stderr, "pollenlug: incomplete logs: %d lines could not be parsed, %d were dropped by nodes\n", log.Unreadable, log.Dropped)
 	}
 }
 
 func printJSON(stdout, stderr io.Writer, value any) int {
 	encoder := json.NewEncoder(stdout)
 	encoder.SetIndent("", "  ")
-	return exitOf(stderr, encoder.Encode(value))
+	return exitCodeOf(stderr, encoder.Encode(value))
 }
 
-func exitOf(stderr io.Writer, err error) int {
+func exitCodeOf(stderr io.Writer, err error) int {
 	if err != nil {
 		fmt.Fprintln(stderr, "pollenlug:", err)
 		return ExitFault
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -16,10 +16,10 @@
 )
 
 func keysCommand() *command {
-	c := newCommand("keys", "Writes a new short-lived authority's certificates and keys for nodes, for tests and measurements.")
+	c := newCommand("keys", "Creates a short-lived certificate authority and writes certificates and keys for nodes, for tests and measurements.")
 	dir, nodes := "", ""
-	c.parsed.String(&dir, "d", "dir", "Folder to write to.")
-	c.parsed.String(&nodes, "n", "nodes", "Names of the nodes, separated by commas.")
+	c.subcommand.String(&dir, "d", "dir", "Directory to write to.")
+	c.subcommand.String(&nodes, "n", "nodes", "Names of the nodes, separated by commas.")
 	c.run = func(stdout, stderr io.Writer) int {
 		if dir == "" || nodes == "" {
 			fmt.Fprintln(stderr, "usage: pollenlug keys --dir DIR --nodes NAME,NAME")
@@ -35,7 +35,7 @@
 	return c
 }
 
-// writeKeys writes NAME.pem, NAME.key and authority.pem.
+// writeKeys writes NAME.pem and NAME.key for each node, and authority.pem.
 func writeKeys(dir string, nodes []string) error {
 	authority, err := transport.NewDevAuthority()
 	if err != nil {
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -18,9 +18,9 @@
 	"gotest.tools/v3/assert"
 )
 
-const readyLimit = 20 * time.Second
+const readyTimeout = 20 * time.Second
 
-// TestMain runs the binary's own main when the test starts it as a process of its own.
+// TestMain runs Main instead of the tests when startProcess has started the test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("POLLENLUG_TEST_PROCESS") == "1" {
 		os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr))
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// start starts a command as a process; it is killed at the end of the test if it still runs.
-func start(t *testing.T, args ...string) (*exec.Cmd, *bufio.Scanner) {
+// startProcess starts a command in a separate process, which is killed at the end of the test if it still runs.
+func startProcess(t *testing.T, args ...string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "POLLENLUG_TEST_PROCESS=1")
@@ -59,65 +59,65 @@
 	assert.NilError(t, os.WriteFile(path, data, 0o600))
 }
 
-// deployment is a set of processes: one with all stand-ins and one per entry node.
+// deployment has the entry nodes of a deployment: one process per entry node, and one more for all stand-ins.
 type deployment struct {
-	callers []string
-	nodes   []*exec.Cmd
+	callerAddrs []string
+	nodes       []*exec.Cmd
 }
 
-// deploy starts three entry nodes before one engine and one service, each in a process of its own.
-func deploy(t *testing.T) *deployment {
+// startDeployment starts three entry nodes, each in its own process, and one process with an engine and a service.
+func startDeployment(t *testing.T) *deployment {
 	t.Helper()
 	dir := t.TempDir()
 	assert.NilError(t, writeKeys(dir, []string{"n1", "n2", "n3"}))
-	platform := freeAddr(t)
+	platformAddr := freeAddr(t)
 	var entries []map[string]any
 	var settings []map[string]any
 	d := &deployment{}
 	for i := range 3 {
 		name := fmt.Sprintf("n%d", i+1)
-		caller, node := freeAddr(t), freeAddr(t)
-		place := map[string]any{"node": name, "region": "north", "failure_domain": fmt.Sprintf("north-%d", i), "node_addr": node, "caller_addr": caller}
-		entries = append(entries, place)
-		full := map[string]any{"platform_url": "http://" + platform, "node_tls": map[string]any{
+		callerAddr, nodeAddr := freeAddr(t), freeAddr(t)
+		location := map[string]any{"node": name, "region": "north", "failure_domain": fmt.Sprintf("north-%d", i), "node_addr": nodeAddr, "caller_addr": callerAddr}
+		entries = append(entries, location)
+		nodeSettings := map[string]any{"platform_url": "http://" + platformAddr, "node_tls": map[string]any{
 			"certificate": filepath.Join(dir, name+".pem"), "key": filepath.Join(dir, name+".key"), "authorities": filepath.Join(dir, "authority.pem")}}
-		for key, value := range place {
-			full[key] = value
+		for key, value := range location {
+			nodeSettings[key] = value
 		}
-		settings = append(settings, full)
-		d.callers = append(d.callers, caller)
+		settings = append(settings, nodeSettings)
+		d.callerAddrs = append(d.callerAddrs, callerAddr)
 	}
-	writeJSON(t, filepath.Join(dir, "standin.json"), map[string]any{"seed": 1, "platform_addr": platform, "entries": entries,
+	writeJSON(t, filepath.Join(dir, "standin.json"), map[string]any{"seed": 1, "platform_addr": platformAddr, "entries": entries,
 		"servers": []map[string]any{
 			{"name": "engine-1", "backend_group": "assistant", "kind": "MODEL_ENGINE", "region": "north", "failure_domain": "north-1", "addr": freeAddr(t), "models": []string{"quote-small"}},
 			{"name": "booking-1", "backend_group": "booking", "kind": "PLAIN_SERVICE", "region": "north", "failure_domain": "north-1", "addr": freeAddr(t)},
 		}})
-	_, out := start(t, "standin", "--settings", filepath.Join(dir, "standin.json"))
+	_, out := startProcess(t, "standin", "--settings", filepath.Join(dir, "standin.json"))
 	assert.Assert(t, out.Scan(), "the stand-ins did not start")
 	for i, s := range settings {
 		path := filepath.Join(dir, fmt.Sprintf("node%d.json", i))
 		writeJSON(t, path, s)
-		cmd, _ := start(t, "serve", "--settings", path)
+		cmd, _ := startProcess(t, "serve", "--settings", path)
 		d.nodes = append(d.nodes, cmd)
 	}
-	for _, caller := range d.callers {
-		awaitReady(t, caller)
+	for _, callerAddr := range d.callerAddrs {
+		awaitReady(t, callerAddr)
 	}
 	return d
 }
 
-func awaitReady(t *testing.T, caller string) {
+func awaitReady(t *testing.T, callerAddr string) {
 	t.Helper()
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for {
-		res, err := http.Get("http://" + caller + "/readyz")
+		res, err := http.Get("http://" + callerAddr + "/readyz")
 		if err == nil {
 			_ = res.Body.Close()
 			if res.StatusCode == http.StatusOK {
 				return
 			}
 		}
-		assert.Assert(t, time.Now().Before(deadline), "%s is not ready", caller)
+		assert.Assert(t, time.Now().Before(deadline), "%s is not ready", callerAddr)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -138,28 +138,28 @@
 	return res.StatusCode, string(data)
 }
 
-// Guards against a path that works in one process only: settings files, certificates on disk, QUIC between processes,
-// the kill of a node and the graceful exit of another.
+// Guards against code that works only within a single process: settings files, certificates on disk, QUIC between
+// processes, the kill of a node and the graceful exit of another.
 func TestSeparateProcesses(t *testing.T) {
-	d := deploy(t)
-	status, answer := post(t, d.callers[0], "/v1/completions", "", `{"model":"quote-small","prompt":"Quote","max_tokens":3}`)
-	assert.Equal(t, status, http.StatusOK, answer)
-	status, first := post(t, d.callers[0], "/s/booking/bookings", "k", `{"board":1}`)
-	assert.Equal(t, status, http.StatusOK, first)
+	d := startDeployment(t)
+	status, body := post(t, d.callerAddrs[0], "/v1/completions", "", `{"model":"quote-small","prompt":"Quote","max_tokens":3}`)
+	assert.Equal(t, status, http.StatusOK, body)
+	status, firstBody := post(t, d.callerAddrs[0], "/s/booking/bookings", "k", `{"board":1}`)
+	assert.Equal(t, status, http.StatusOK, firstBody)
 
 	assert.NilError(t, d.nodes[0].Process.Kill())
-	status, again := post(t, d.callers[1], "/s/booking/bookings", "k", `{"board":1}`)
-	assert.Equal(t, status, http.StatusOK, again)
-	assert.Equal(t, again, first, "the booking ran again")
+	status, retriedBody := post(t, d.callerAddrs[1], "/s/booking/bookings", "k", `{"board":1}`)
+	assert.Equal(t, status, http.StatusOK, retriedBody)
+	assert.Equal(t, retriedBody, firstBody, "the booking ran again")
 
 	assert.NilError(t, d.nodes[1].Process.Signal(syscall.SIGTERM))
 	assert.NilError(t, d.nodes[1].Wait(), "the node did not exit with code 0")
-	status, answer = post(t, d.callers[2], "/v1/completions", "", `{"model":"quote-small","prompt":"Quote","max_tokens":3}`)
-	assert.Equal(t, status, http.StatusOK, answer)
+	status, body = post(t, d.callerAddrs[2], "/v1/completions", "", `{"model":"quote-small","prompt":"Quote","max_tokens":3}`)
+	assert.Equal(t, status, http.StatusOK, body)
 }
 
-// Guards against a bad setting that starts a process or that does not name the field.
-func TestBadSettingExitsWithOneLine(t *testing.T) {
+// Guards against an invalid setting with which a process starts, or whose error does not name the field.
+func TestInvalidSettingExitsWithOneLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.json")
 	writeJSON(t, path, map[string]any{"node": "n1", "region": "north"})
 	var stderr strings.Builder
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -18,15 +18,16 @@
 	"github.com/pollenlug/pollenlug/internal/transport"
 )
 
-// signals returns a context that ends with the first SIGTERM or SIGINT; a second one ends the process.
-func signals() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends with the first SIGTERM or SIGINT. Further signals have no effect until the
+// returned function is called; after that, a signal ends the process.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
 func serveCommand() *command {
 	c := newCommand("serve", "Runs one entry node.")
 	path := ""
-	c.parsed.String(&path, "s", "settings", "JSON file with the node's settings.")
+	c.subcommand.String(&path, "s", "settings", "JSON file with the node's settings.")
 	c.run = func(_, stderr io.Writer) int {
 		s, err := settings.Node(path)
 		if err != nil {
@@ -48,7 +49,7 @@
 
 // serve runs a node until it has drained after a signal or a reclaim notice.
 func serve(n *node.Node, log *logrus.Entry) int {
-	ctx, stop := signals()
+	ctx, stop := signalContext()
 	defer stop()
 	if err := n.Run(ctx); err != nil {
 		log.WithError(err).Error("node stopped")
@@ -58,9 +59,9 @@
 }
 
 func standinCommand() *command {
-	c := newCommand("standin", "Runs stand-ins of the platform, engines and services, for tests and measurements.")
+	c := newCommand("standin", "Runs stand-ins for the platform, engines and services, for tests and measurements.")
 	path := ""
-	c.parsed.String(&path, "s", "settings", "JSON file with the stand-ins' settings.")
+	c.subcommand.String(&path, "s", "settings", "JSON file with the stand-ins' settings.")
 	c.run = func(stdout, stderr io.Writer) int {
 		s, err := settings.Standin(path)
 		if err != nil {
@@ -72,7 +73,7 @@
 		}
 		defer standins.Close()
 		fmt.Fprintln(stdout, "ready all")
-		ctx, stop := signals()
+		ctx, stop := signalContext()
 		defer stop()
 		<-ctx.Done()
 		return ExitOK
@@ -84,12 +85,12 @@
 	c := newCommand("dev", "Runs three entry nodes and all stand-ins in one process on loopback.")
 	opts := devcluster.Options{Port: devcluster.DefaultPort}
 	level := "warning"
-	c.parsed.String(&opts.ConfigDir, "c", "config-dir", "Operators' folder; a built-in example when unset.")
-	c.parsed.Int(&opts.Port, "p", "port", "Port of the first entry node; the next nodes take the ports after it.")
-	c.parsed.Int(&opts.FaultPort, "f", "fault-port", "Port of the stand-ins' fault API; off when unset.")
-	c.parsed.UInt64(&opts.Seed, "", "seed", "Seed of the stand-ins.")
-	c.parsed.String(&opts.Policy, "", "policy", "Routing policy: cost-aware, round-robin, least-loaded or prefix-only.")
-	c.parsed.String(&level, "l", "log-level", "debug, info, warning or error.")
+	c.subcommand.String(&opts.ConfigDir, "c", "config-dir", "Operators' folder; unset uses a built-in example.")
+	c.subcommand.Int(&opts.Port, "p", "port", "Port of the first entry node; the next nodes take the ports after it.")
+	c.subcommand.Int(&opts.FaultPort, "f", "fault-port", "Port of the stand-ins' fault API; off when unset.")
+	c.subcommand.UInt64(&opts.Seed, "", "seed", "Seed of the stand-ins.")
+	c.subcommand.String(&opts.Policy, "", "policy", "Routing policy: cost-aware, round-robin, least-loaded or prefix-only.")
+	c.subcommand.String(&level, "l", "log-level", "debug, info, warning or error.")
 	c.run = func(stdout, stderr io.Writer) int {
 		opts.Log = logrus.NewEntry(settings.Logger(level))
 		cluster, err := devcluster.Start(opts)
@@ -100,17 +101,17 @@
 			fmt.Fprintln(stdout, line)
 		}
 		fmt.Fprintln(stdout, "ready all")
-		ctx, stop := signals()
+		ctx, stop := signalContext()
 		defer stop()
 		<-ctx.Done()
 		stop()
-		drain, cancel := context.WithTimeout(context.Background(), devDrainLimit)
+		drainCtx, cancel := context.WithTimeout(context.Background(), devDrainTimeout)
 		defer cancel()
-		cluster.Stop(drain)
+		cluster.Stop(drainCtx)
 		return ExitOK
 	}
 	return c
 }
 
 // devDrainLimit bounds the drain of a development cluster, whose operator waits at the terminal.
-const devDrainLimit = 30 * time.Second
+const devDrainTimeout = 30 * time.Second
