--- a/internal/fleetholder/act.go
+++ b/internal/fleetholder/act.go
@@ -107,7 +107,8 @@
 	return lastErr
 }
 
-// mayStop reports whether a draining server has been idle for minIdleTime or is past its deadline.
+// mayStop reports whether a draining server may be stopped: its drain was announced at least announceTime ago, and it
+// has been idle for minIdleTime or is past its deadline.
 func (t *term) mayStop(ctx context.Context, server Server, deadline time.Time) bool {
 	now := time.Now()
 	if now.Sub(t.announced[server.ID]) < announceTime {
--- a/internal/fleetholder/decide.go
+++ b/internal/fleetholder/decide.go
@@ -15,8 +15,8 @@
 const (
 	// startTimeout is how long a started instance may be missing from the instance list before it is replaced.
 	startTimeout = 10 * time.Minute
-	// rowRetention is how long starts of listed instances and drains stay in the row. It exceeds the time for which the
-	// instance lists of two nodes can differ.
+	// rowRetention is how long the starts of listed instances and the drains stay in the row at least. It exceeds the time
+	// for which the instance lists of two nodes can differ.
 	rowRetention = 2 * time.Minute
 	// expectedStartTime is the instance start time assumed in the cost of a reclaim.
 	expectedStartTime = 3 * time.Minute
@@ -24,8 +24,8 @@
 	refusalRetention = time.Hour
 )
 
-// pruneRow removes finished entries from the row: starts whose instance has been listed or is overdue, drains of
-// servers that are gone, and expired refusals.
+// pruneRow removes finished entries from the row: starts whose instance is listed, has disappeared or is overdue,
+// drains of servers that are gone, and expired refusals.
 func (t *term) pruneRow(servers []Server) {
 	now := time.Now()
 	present := make(map[string]bool, len(servers))
--- a/internal/fleetholder/harness_test.go
+++ b/internal/fleetholder/harness_test.go
@@ -37,7 +37,7 @@
 	index        *config.Index
 	demand       map[string]fleet.Demand
 	servers      map[string]*server
-	checkFencing bool // servers check fencing numbers
+	checkFencing bool // servers check fencing tokens
 	announced    map[string]time.Time
 	recorded     []platformCall
 }
--- a/internal/fleetholder/holder.go
+++ b/internal/fleetholder/holder.go
@@ -10,7 +10,7 @@
 // which precedes each call. A call that is delayed even further only repeats a decision already in the row.
 //
 // Orders state a desired state and are limited to those that do no harm when they arrive late: a load only adds to what
-// a server holds, an unload goes only to servers that check fencing numbers, and the standby role goes only to
+// a server holds, an unload goes only to servers that check fencing tokens, and the standby role goes only to
 // draining servers, whose drain is never withdrawn.
 //
 // The row is written only when a decision changes it, so an idle fleet makes no store calls besides lease renewals.
@@ -45,7 +45,7 @@
 	retryInterval = 5 * time.Second
 	// observeInterval is how often each node, holder or not, samples demand and reclaims.
 	observeInterval = time.Second
-	// callTimeout bounds one read from the platform.
+	// callTimeout bounds the reads of the row and the instance list together, and a read of the prices.
 	callTimeout = 2 * time.Second
 	// pricesInterval is how often the prices are read.
 	pricesInterval = time.Minute
@@ -83,7 +83,7 @@
 	Domains func() []fleet.Domain
 	// Demand returns the current demand by model.
 	Demand func() map[string]fleet.Demand
-	// Announce tells all nodes that the plan drains a server. It is called repeatedly for the same server.
+	// Announce reports to all nodes that the plan drains a server. It is called repeatedly for the same server.
 	Announce func(server string, deadline time.Time)
 	// MaxOrderTime bounds each call made under the lease; it must not exceed the MaxOrderTime of Leases. 0 means
 	// lease.DefaultMaxOrderTime.
@@ -178,7 +178,7 @@
 	release, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if err := held.Release(release); err != nil {
-		log.WithError(err).Debug("fleet lease not released; the successor must wait until it expires")
+		log.WithError(err).Debug("releasing fleet lease failed; the successor must wait until it expires")
 	}
 }
 
@@ -198,7 +198,7 @@
 // errLeaseLost means that the lease is no longer valid and that the call was not made.
 var errLeaseLost = errors.New("fleetholder: the lease is no longer valid")
 
-// withLease calls fn if the lease is valid. fn receives the fencing number and a context that ends after MaxOrderTime.
+// withLease calls fn if the lease is valid. fn receives the fencing token and a context that ends after MaxOrderTime.
 func (t *term) withLease(ctx context.Context, fn func(ctx context.Context, fencing uint64) error) error {
 	ctx, cancel := context.WithTimeout(ctx, t.f.MaxOrderTime)
 	defer cancel()
--- a/internal/fleetholder/holder_test.go
+++ b/internal/fleetholder/holder_test.go
@@ -53,10 +53,10 @@
 func TestDrainWaitsForRunningRequests(t *testing.T) {
 	runFleetTest(t, 1, 0, 2, func(env *testEnv, _ []*testNode) {
 		time.Sleep(time.Minute)
-		begin := time.Now()
+		start := time.Now()
 		for i := range 8 {
 			id := env.liveInstances("assistant")[i].ID
-			env.withLock(func() { env.servers[id].busyUntil = begin.Add(time.Duration(i+1) * 40 * time.Second) })
+			env.withLock(func() { env.servers[id].busyUntil = start.Add(time.Duration(i+1) * 40 * time.Second) })
 		}
 		env.configure(`{"backend_groups": [{"name": "assistant", "override": true, "kind": "MODEL_ENGINE", "instance_classes": ["gpu"], "min_servers": 4, "max_servers": 4}]}`)
 		late := map[string]bool{}
@@ -201,7 +201,7 @@
 }
 
 // Guards against harm from an order that arrives after its holder has lost the lease, at a server that ignores fencing
-// numbers; a server that checks them must refuse it.
+// tokens; a server that checks them must refuse it.
 func TestLateOrder(t *testing.T) {
 	for _, checkFencing := range []bool{false, true} {
 		runFleetTest(t, 1, 0, 2, func(env *testEnv, nodes []*testNode) {
@@ -244,14 +244,14 @@
 		env.configure(`{"models": [
 			{"name": "big", "version": "1", "context_tokens": 8192, "backend_group": "assistant", "weights_mib": 6000},
 			{"name": "tiny", "version": "1", "context_tokens": 8192, "backend_group": "assistant", "weights_mib": 100, "min_servers_per_domain": 2}]}`)
-		begin, sizes := time.Now(), map[string]float64{"load_model big": 6000, "load_model tiny": 100}
+		start, sizes := time.Now(), map[string]float64{"load_model big": 6000, "load_model tiny": 100}
 		for range 30 * 60 {
 			time.Sleep(time.Second)
 			loaded := 0.0
 			for _, a := range env.calls() {
 				loaded += sizes[a.detail]
 			}
-			assert.Assert(t, loaded <= rate*time.Since(begin).Seconds()+6000, "%.0f MiB", loaded)
+			assert.Assert(t, loaded <= rate*time.Since(start).Seconds()+6000, "%.0f MiB", loaded)
 		}
 		var order []string
 		for _, a := range env.calls() {
--- a/internal/fleetholder/orders.go
+++ b/internal/fleetholder/orders.go
@@ -16,8 +16,8 @@
 // orderReportTimeout is how long an order may take to appear in the server's load report before it is sent again.
 const orderReportTimeout = 5 * time.Minute
 
-// unloadDelay is how long the plan must have asked for an unload before it is ordered, so that a configuration edit that
-// is soon reverted does not cause the model to be loaded again.
+// unloadDelay is how long the plan must have requested an unload before it is ordered, so that a configuration edit
+// that is soon reverted does not cause the model to be loaded again.
 const unloadDelay = 10 * time.Minute
 
 // reportLag is how long load reports may still show the state before an order.
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// trackUnloads records since when the plan has asked for each model to be unloaded.
+// trackUnloads records since when the plan has requested the unload of each model.
 func (t *term) trackUnloads() {
 	unloads := map[string]time.Time{}
 	for _, o := range t.plan.Orders {
@@ -114,7 +114,7 @@
 		t.rememberOrder(o)
 	case errors.Is(err, backend.ErrStaleFencing):
 		t.f.Metrics.Add("fleet_stale_fencing_refusals", 1)
-		t.log.WithFields(fields).Warn("server refused an order with a stale fencing number")
+		t.log.WithFields(fields).Warn("server refused an order with a stale fencing token")
 	default:
 		t.f.Metrics.Count("fleet_orders_failed", "kind", string(o.Kind), 1)
 		t.log.WithError(err).WithFields(fields).Debug("order failed; the next plan repeats it")
@@ -169,8 +169,9 @@
 }
 
 // trackVersions records in the row the models whose configured version all their servers have. Load reports contain no
-// versions, so the row keeps the last version that was deployed everywhere. A successor repeats the orders of an
-// incomplete update; engines ignore an order for a version that they already have.
+// versions, so the row keeps the last version that was deployed everywhere. For a model without one in the row, the
+// configured version is recorded at once. A successor repeats the orders of an incomplete update; engines ignore an
+// order for a version that they already have.
 func (t *term) trackVersions(groups []fleet.Group, servers []Server) {
 	for _, g := range groups {
 		for _, m := range g.Models {
--- a/internal/fleetholder/term.go
+++ b/internal/fleetholder/term.go
@@ -43,7 +43,7 @@
 	ordered map[string]map[string]acceptedOrder // by server and key, see fleet.Server.Ordered
 	// updated holds, by model, the servers that accepted an order to load the current version.
 	updated map[string]map[string]bool
-	// unloadSince holds, by model, since when the plan has asked for it to be unloaded.
+	// unloadSince holds, by model, since when the plan has requested its unload.
 	unloadSince map[string]time.Time
 	// loadAfter is the time from which the weight store admits the next load.
 	loadAfter time.Time
@@ -170,7 +170,7 @@
 	defer cancel()
 	prices, err := t.f.Cloud.Prices(ctx)
 	if err != nil {
-		t.log.WithError(err).Debug("could not read prices; keeping the last known ones")
+		t.log.WithError(err).Debug("reading prices failed; keeping the last known ones")
 		return
 	}
 	t.prices, t.pricesAt = prices, time.Now()
