--- a/internal/replica/attach.go
+++ b/internal/replica/attach.go
@@ -16,9 +16,10 @@
 const (
 	// fetchTimeout bounds one request for progress, including the time for which the peer waits for new tokens.
 	fetchTimeout = fetchWait + time.Second
-	// maxFindNodes bounds the nodes of each kind that are queried for a response whose home node cannot be reached.
+	// maxFindNodes bounds, for a response whose home node cannot be reached, the queried nodes of each group that
+	// possibleReplicas returns.
 	maxFindNodes = 8
-	// findRetryInterval is the wait between searches after the node that ran a response has become unreachable.
+	// findRetryInterval is the wait between searches after the home node of a response has become unreachable.
 	findRetryInterval = 200 * time.Millisecond
 	// findRetryTimeout is how long a mirror keeps searching; it covers the time to detect a dead home node.
 	findRetryTimeout = 15 * time.Second
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -503,7 +503,8 @@
 	}
 }
 
-// Guards against a changed sequence of events when the home node dies while servers are reclaimed, by a golden file.
+// Guards against a changed sequence of events when the home node dies while servers are reclaimed. The expected
+// sequence is in a golden file.
 func TestHomeNodeFailureDuringReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, false)
@@ -564,7 +565,7 @@
 		assert.Equal(t, copies, 0, "no node could accept the response")
 		cl.setStatus(pb.MemberState_ALIVE, 1, 2, 3)
 		assert.Assert(t, handover())
-		assert.Assert(t, !handover(), "the response already has another home")
+		assert.Assert(t, !handover(), "the response already has another home node")
 		assert.Equal(t, copies, 1)
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -131,7 +131,8 @@
 
 // Open copies an accepted request to a replica. If there are fewer than maxOpenAttempts candidates and all fail, the
 // response continues without a replica, since refusing it would help nobody; the metric responses_without_replica
-// counts these. If maxOpenAttempts candidates fail, other nodes may remain, and the request is refused.
+// counts these. If maxOpenAttempts candidates fail, other nodes may remain, and the request is refused. It is also
+// refused if ctx ends first.
 func (r *Replicator) Open(ctx context.Context, log *stream.Log) error {
 	return r.openExcept(ctx, log, "")
 }
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -115,16 +115,17 @@
 	}
 }
 
-// takeOver makes this node the home node of a response whose previous home node is gone.
+// takeOver makes this node the home node of a response whose previous home node is gone or does not serve it any more.
 func (r *Replicator) takeOver(log *stream.Log) {
 	log.SetHome(r.Self.Node)
 	r.Metrics.Add("responses_taken_over", 1)
-	r.adopt(log, "", "")
+	r.continueAsHome(log, "", "")
 }
 
-// adopt opens a replica of a response whose home node is now this node, and continues the response. The replica is not
-// placed on the node that handed the response over, as that node is leaving and this one may not know it yet.
-func (r *Replicator) adopt(log *stream.Log, kv, leaving string) {
+// continueAsHome opens a replica of a response whose home node is now this node, and continues the response. The
+// replica is not placed on the node that handed the response over, as that node is leaving and this one may not know it
+// yet.
+func (r *Replicator) continueAsHome(log *stream.Log, kv, leaving string) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxOpenAttempts*openTimeout)
 	defer cancel()
 	if err := r.openExcept(ctx, log, leaving); err != nil {
@@ -142,6 +143,6 @@
 		return ack(code.InvalidEventID, err.Error())
 	}
 	log.SetHome(r.Self.Node)
-	r.adopt(log, message.Kv, from)
+	r.continueAsHome(log, message.Kv, from)
 	return ack(code.OK, "")
 }
