--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -113,7 +113,8 @@
 	return &pick, nil
 }
 
-// copyKV copies the KV cache between two server addresses and returns its handle on the target, or "" on failure.
+// copyKV copies the KV cache from one server address to another, or to the same one to retain it, and returns the
+// handle of the copy, or "" on failure.
 func (r *Runner) copyKV(ctx context.Context, run *run, from, to string) string {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
@@ -123,7 +124,7 @@
 		err = r.Engine.ImportKV(ctx, to, id, kv)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("request_id", id).Info("KV cache could not be copied; the target server recomputes it")
+		r.Log.WithError(err).WithField("request_id", id).Info("copying KV cache failed; the next attempt recomputes it")
 		return ""
 	}
 	return id
--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -70,11 +70,11 @@
 var errHandover = errors.New("generate: response moves to another node")
 
 // errNoReader cancels a run whose response has no reader.
-var errNoReader = errors.New("generate: nobody reads the response")
+var errNoReader = errors.New("generate: response has no reader")
 
 // Budget limits retries.
 type Budget interface {
-	// Wait takes one retry from the budget, waiting until one is available or ctx ends.
+	// Wait withdraws one retry from the budget, waiting until one is available or ctx ends.
 	Wait(ctx context.Context) error
 }
 
