--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -84,7 +84,7 @@
 // error from go-kit, which would write a refusal with a second header into the body.
 func (g *gateway) recordDisconnect(err error) error {
 	if err != nil {
-		g.Log.WithError(err).Debug("the caller left before the end of the answer")
+		g.Log.WithError(err).Debug("caller disconnected before the end of the response")
 		g.Metrics.Refusal(code.CallerGone)
 	}
 	return nil
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -182,7 +182,7 @@
 	return "/" + path
 }
 
-// idempotencyKey returns the value of the Idempotency-Key header, which only non-repeatable routes require.
+// idempotencyKey returns the value of the Idempotency-Key header, which only non-idempotent routes require.
 func idempotencyKey(r *http.Request, route *pb.Route) (string, error) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 	Workspace *pb.Workspace
 	Service   *config.Service
 	Route     *pb.Route
-	Key       string // Idempotency-Key, for non-repeatable routes
+	Key       string // Idempotency-Key, for non-idempotent routes
 	Request   backend.CallRequest
 	Deadline  time.Time
 }
@@ -89,7 +89,7 @@
 	Load          uint32 `json:"load"`
 }
 
-// Node is the entry node as the gateway sees it.
+// Node is what the gateway needs of its entry node.
 type Node interface {
 	// Config returns the configuration in force, or nil.
 	Config() *config.Index
@@ -142,9 +142,9 @@
 // observe records how long an endpoint takes to accept or refuse a request.
 func (g *gateway) observe(endpoint func(context.Context, any) (any, error)) func(context.Context, any) (any, error) {
 	return func(ctx context.Context, request any) (any, error) {
-		begin := time.Now()
+		start := time.Now()
 		response, err := endpoint(ctx, request)
-		g.Metrics.Observe("accept", time.Since(begin))
+		g.Metrics.Observe("accept", time.Since(start))
 		return response, err
 	}
 }
