--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -107,7 +107,7 @@
 	return append(dst, e.tail...)
 }
 
-// AppendFinish appends the event with the finish reason and the "[DONE]" marker.
+// AppendFinish appends the event with the finish reason and the end marker "[DONE]".
 func (e *Events) AppendFinish(dst []byte, tokens uint32, reason string) []byte {
 	dst = append(dst, "id: "...)
 	dst = strconv.AppendUint(dst, uint64(tokens), 10)
--- a/pkg/stream/log.go
+++ b/pkg/stream/log.go
@@ -8,8 +8,8 @@
 // token: tokens that the log already has are dropped, and a gap is an error that ends the attempt. The caller therefore
 // receives each token exactly once and in order, whichever backend server produced it.
 //
-// The log is kept on the home node, which runs the attempts, and on one replica in another failure domain. Both keep
-// it for the retention time after its last change, so that the caller can resume on any entry node.
+// The log is kept on the home node, which runs the attempts, and on one replica, in another failure domain if there is
+// one. Both keep it for the retention time after its last change, so that the caller can resume on any entry node.
 package stream
 
 import (
@@ -23,7 +23,7 @@
 
 // Errors of Append, Finish and Apply.
 var (
-	// ErrStaleAttempt means that a newer attempt has begun.
+	// ErrStaleAttempt means that a later attempt has started.
 	ErrStaleAttempt = errors.New("stream: attempt is stale")
 	// ErrGap means that tokens before the given offset are missing.
 	ErrGap = errors.New("stream: gap before the offset")
