--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -185,7 +185,8 @@
 	}
 }
 
-// FuzzMerge guards against panics, faults without a file, field or reason, and a merged result that is not itself valid.
+// FuzzMerge guards against panics, against faults without a file, field or reason, and against a merged result that is
+// not itself valid.
 func FuzzMerge(f *testing.F) {
 	f.Add([]byte(baseFile), []byte(`{"delete": ["models/quote-small"]}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -6,8 +6,7 @@
 	"github.com/pollenlug/pollenlug/internal/pb"
 )
 
-// Defaults of unset fields. They are applied in this package only; the comments in proto/folder.proto state the same
-// values.
+// Defaults of unset fields. Only this package fills them in; the comments in proto/folder.proto state the same values.
 const (
 	// DefaultFirstToken and DefaultBetweenTokens are the latency targets at the target deployment size.
 	DefaultFirstToken    = 420 * time.Millisecond
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
 	if snapshot.Merged == nil {
-		return nil, errors.New("decode snapshot: it holds no configuration")
+		return nil, errors.New("decode snapshot: configuration is missing")
 	}
 	return snapshot, nil
 }
@@ -218,8 +218,8 @@
 // Share returns the weight of the workspace in fair queueing; an unset share counts as DefaultWorkspaceShare.
 func Share(workspace *pb.Workspace) uint32 { return max(workspace.Share, DefaultWorkspaceShare) }
 
-// FormatJSON returns the merged configuration as indented JSON with the field names of the schema. Merging the text again
-// yields the same configuration.
+// FormatJSON returns the merged configuration as indented JSON with the field names of the schema. Merging the text
+// again yields the same configuration.
 func FormatJSON(folder *pb.FolderFile) ([]byte, error) {
 	compact, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(folder)
 	if err != nil {
--- a/pkg/config/merge.go
+++ b/pkg/config/merge.go
@@ -1,4 +1,4 @@
-// Package config merges and validates the operators' folder and compiles the result for lookups.
+// Package config merges and validates the operators' folder and indexes the result for lookups.
 //
 // Merge reads the files of one folder revision in the order of their names. Only names that end in ".json", do
 // not start with "." and contain no "/" are read; editors' backup files, notes and subdirectories are ignored.
--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -84,8 +84,8 @@
 	errTooDeep      = errors.New("values are nested too deeply")
 )
 
-// check returns an error for text that cannot be read as one JSON value of at most maxDepth levels; deviations from the
-// schema become faults.
+// check returns an error for text that is not a single JSON value or is nested deeper than maxDepth; deviations from
+// the schema become faults.
 func (c *checker) check(message protoreflect.MessageDescriptor) error {
 	token, err := c.decoder.Token()
 	if err != nil {
@@ -133,7 +133,7 @@
 		}
 		fieldPath := joinPath(path, string(field.Name()))
 		if seen[field.Number()] {
-			c.fault(fieldPath, "field is stated twice")
+			c.fault(fieldPath, "field is set twice")
 		}
 		seen[field.Number()] = true
 		if err := c.field(field, fieldPath, depth); err != nil {
