--- a/pkg/configstore/accept.go
+++ b/pkg/configstore/accept.go
@@ -30,7 +30,7 @@
 		return fmt.Errorf("read folder: %w", err)
 	}
 	if state.Revision == 0 {
-		return errors.New("read folder: it has no revision")
+		return errors.New("read folder: revision is missing")
 	}
 	if !s.isNew(state.Revision) {
 		return nil
@@ -86,7 +86,7 @@
 		s.status.FaultRevision = revision
 	}
 	s.mu.Unlock()
-	s.log("msg", "folder revision is not accepted", "folder_revision", revision, "faults", len(faults), "first", faults[0])
+	s.log("msg", "folder revision rejected", "folder_revision", revision, "faults", len(faults), "first", faults[0])
 }
 
 // accept replaces the row. It returns nil once the revision or a higher one is accepted and in force. A node that read
@@ -119,7 +119,7 @@
 			return err
 		}
 	}
-	return errors.New("other readers replaced the row at each try")
+	return errors.New("other nodes replaced the row on every attempt")
 }
 
 // writeRow replaces the row if it is still the one that was read. A write with an unknown outcome is retried with the
--- a/pkg/configstore/fetch.go
+++ b/pkg/configstore/fetch.go
@@ -23,7 +23,7 @@
 	maxFetchAttempts = 8
 )
 
-var errNotFetched = errors.New("no peer and no object has the snapshot")
+var errNotFetched = errors.New("snapshot could not be fetched from a peer or the object store")
 
 // HandleAnnouncement records a version that a peer has announced. Run fetches it from that peer, from other peers or
 // from the object store. HandleAnnouncement does not wait for the fetch, and repeated announcements are harmless.
@@ -103,8 +103,9 @@
 	return s.o.Objects.Get(ctx, digest)
 }
 
-// fetchFromPeer queries one peer and adopts its version if it is higher than that of this node. want is the version
-// that is being fetched, or nil for any.
+// fetchFromPeer queries one peer and adopts its version if it replaces the one in force. want is the version that is
+// being fetched, or nil for any. fromRow means that want was read from the row, whose digest takes precedence if the
+// same version is in force.
 func (s *Store) fetchFromPeer(ctx context.Context, peer string, want *pb.AcceptedVersion, fromRow bool) error {
 	s.count(func(c *Counts) { c.PeerFetches++ })
 	ctx, cancel := context.WithTimeout(ctx, s.timing.PeerTimeout)
@@ -121,7 +122,7 @@
 		return nil
 	}
 	if len(state.Snapshot) > config.MaxSnapshotBytes {
-		return fmt.Errorf("%w: it has %d bytes", errMismatch, len(state.Snapshot))
+		return fmt.Errorf("%w: %d bytes are more than a snapshot may have", errMismatch, len(state.Snapshot))
 	}
 	if state.Version == want.GetVersion() && state.Digest != want.GetDigest() {
 		return fmt.Errorf("%w: version %d has digest %s instead of %s", errMismatch, state.Version, state.Digest, want.GetDigest())
--- a/pkg/configstore/harness_test.go
+++ b/pkg/configstore/harness_test.go
@@ -283,15 +283,15 @@
 // waitInForceEverywhere waits until the folder revision or a higher one is in force on every node, and returns the
 // time that it took and whether it was reached within the timeout.
 func (c *cluster) waitInForceEverywhere(revision uint64, timeout time.Duration) (time.Duration, bool) {
-	started := time.Now()
-	for time.Since(started) < timeout {
+	start := time.Now()
+	for time.Since(start) < timeout {
 		done := true
 		for _, n := range c.nodes {
 			current := n.current().Current()
 			done = done && current != nil && current.FolderRevision >= revision
 		}
 		if done {
-			return time.Since(started), true
+			return time.Since(start), true
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/pkg/configstore/store.go
+++ b/pkg/configstore/store.go
@@ -151,7 +151,7 @@
 
 	mu        sync.Mutex
 	status    Status
-	row       observedRow
+	row       observedRow // the row with the highest row version observed so far
 	announced announcement
 	watchers  map[int]func(*InForce)
 	nextID    int
@@ -257,7 +257,8 @@
 	}
 }
 
-// Serve returns the reply to a peer's query. It omits the snapshot if the peer already has this version or a higher one.
+// Serve returns the reply to a peer's query. It omits the snapshot if the peer already has this version or a higher
+// one.
 func (s *Store) Serve(fetch *pb.ConfigFetch) *pb.ConfigState {
 	current := s.Current()
 	if current == nil {
--- a/pkg/configstore/store_test.go
+++ b/pkg/configstore/store_test.go
@@ -316,14 +316,14 @@
 				var durations []time.Duration
 				for i := range c.edits {
 					revision := cl.folder.edit(true)
-					started := time.Now()
+					start := time.Now()
 					for c.outage && cl.table.Counts().RowWrites <= uint64(i) {
 						time.Sleep(time.Millisecond)
 					}
 					cl.setStoreOutage(c.outage)
 					_, ok := cl.waitInForceEverywhere(revision, time.Minute)
 					assert.Assert(t, ok)
-					durations = append(durations, time.Since(started))
+					durations = append(durations, time.Since(start))
 					cl.setStoreOutage(false)
 					time.Sleep(time.Duration(1000+i*37%1000) * time.Millisecond)
 				}
