--- a/pkg/platform/platformtest/platformtest.go
+++ b/pkg/platform/platformtest/platformtest.go
@@ -246,8 +246,8 @@
 	List  platform.InstanceList
 	// Request is a valid start request; the tests set its token.
 	Request platform.StartRequest
-	// Reclaim issues a reclaim notice for an instance whose deadline is the given time away. RefuseStarts makes all
-	// further starts fail.
+	// Reclaim issues a reclaim notice for an instance whose deadline is the given time away. RefuseStarts makes
+	// starts of further instances fail.
 	Reclaim      func(instance string, notice time.Duration)
 	RefuseStarts func()
 }
