--- a/internal/servers/follow.go
+++ b/internal/servers/follow.go
@@ -20,9 +20,9 @@
 	goneTTL = 5 * time.Minute
 )
 
-// followList reads the instance list: every listInterval while this node is its reader, otherwise at the start and every
-// fallbackInterval.
-func (t *Tracker) followList(ctx context.Context) {
+// watchList reads the instance list: every listInterval while this node is its reader, otherwise at the start and
+// every fallbackInterval.
+func (t *Tracker) watchList(ctx context.Context) {
 	var next time.Time
 	for ctx.Err() == nil {
 		reads := t.ReadsList()
@@ -84,7 +84,7 @@
 	}
 }
 
-// reconcile replaces the known instances by the list and returns the changes.
+// reconcile replaces the known instances with the list and returns the changes.
 func (t *Tracker) reconcile(list []platform.Instance) []*pb.InstanceItem {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,8 +184,8 @@
 	t.RequestUpdate()
 }
 
-// followNotices polls for reclaim notices while this node is one of their readers.
-func (t *Tracker) followNotices(ctx context.Context) {
+// watchNotices polls for reclaim notices while this node is one of their readers.
+func (t *Tracker) watchNotices(ctx context.Context) {
 	var last uint64
 	for ctx.Err() == nil {
 		if !t.ReadsNotices() {
@@ -217,7 +217,7 @@
 	return notices, err
 }
 
-// publishNotice gossips a notice unless it is known already or its deadline passed longer than noticeRetention ago.
+// publishNotice gossips a notice unless it is known already or its deadline passed more than noticeRetention ago.
 func (t *Tracker) publishNotice(notice platform.Notice) {
 	left := time.Until(notice.Deadline)
 	if left < -noticeRetention {
@@ -229,7 +229,7 @@
 	if ok && known.UnixMilli() == notice.Deadline.UnixMilli() {
 		return
 	}
-	t.Log.WithField("instance", notice.Instance).WithField("deadline", notice.Deadline).Info("instance is reclaimed")
+	t.Log.WithField("instance", notice.Instance).WithField("deadline", notice.Deadline).Info("reclaim notice received")
 	value, err := proto.Marshal(&pb.NoticeItem{DeadlineUnixMs: uint64(notice.Deadline.UnixMilli())})
 	if err != nil {
 		t.Log.WithError(err).Error("notice cannot be encoded")
@@ -251,7 +251,7 @@
 
 // Drain announces to all nodes that the fleet plan removes a server: it gets no new work, and responses that still run
 // drainMoveLead before the deadline are moved. A reclaim notice of the cloud is a separate item, which takes precedence
-// if both exist. A repeated call has no effect; a drain cannot be cancelled.
+// if both exist. A repeated call with the same deadline has no effect; a drain cannot be cancelled.
 func (t *Tracker) Drain(server string, deadline time.Time) {
 	if known, ok := t.drainOf(server); ok && known.UnixMilli() == deadline.UnixMilli() {
 		return
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -2,13 +2,13 @@
 //
 // # Design
 //
-// One node, chosen by rendezvous hashing, reads the platform's instance list and gossips the changes; two nodes read the
-// reclaim notices, which are urgent. At the target size of a thousand instances, the list is too large for every node
-// to read often: 400 nodes that read it each second would transfer 100 MB/s. Every node also reads the list when it
-// starts and every fallbackInterval afterwards, so that it does not depend on other nodes.
+// One node, chosen by rendezvous hashing, reads the platform's instance list and gossips the changes; two nodes read
+// the reclaim notices, which are urgent. At the target size of a thousand instances, the list is too large for every
+// node to read often: 400 nodes that read it each second would transfer 100 MB/s. Every node also reads the list when
+// it starts and every fallbackInterval afterwards, so that it does not depend on other nodes.
 //
-// The list lags by seconds. A notice is therefore kept until noticeRetention after its deadline: as soon as it is known,
-// the server gets no new work, even while the list still shows it as live.
+// The list lags by seconds. A notice is therefore kept until noticeRetention after its deadline: as soon as it is
+// known, the server gets no new work, even while the list still shows it as live.
 package servers
 
 import (
@@ -84,7 +84,8 @@
 	Leaving func(server string, deadline time.Time)
 	// Changed is called with the backend servers at each update; it may be nil.
 	Changed func([]platform.Instance)
-	// Self is the instance of this node; SelfLeaving is called once when it is about to leave.
+	// Self is the instance of this node. SelfLeaving is called once, when that instance has a reclaim notice or is listed
+	// as leaving.
 	Self        string
 	SelfLeaving func(deadline time.Time)
 	Log         *logrus.Entry
@@ -122,8 +123,8 @@
 // Run reads the list and the notices and updates the router until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { t.followNotices(ctx) })
-	wg.Go(func() { t.followList(ctx) })
+	wg.Go(func() { t.watchNotices(ctx) })
+	wg.Go(func() { t.watchList(ctx) })
 	wg.Go(func() { t.runUpdates(ctx) })
 	wg.Wait()
 }
