--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// silenceTimeout is how long no packet may arrive on a connection after a message was sent on it. QUIC acknowledges
-	// within 25 ms and retransmits lost packets several times within this time.
+	// silenceTimeout bounds how long a connection may receive no packet after a message was sent on it. QUIC
+	// acknowledges within 25 ms and retransmits lost packets several times within this time.
 	silenceTimeout = time.Second
 	// maxConnectionAge forces a new handshake for long-lived connections, so that the removal of an authority also takes
 	// effect on them.
 	maxConnectionAge = 10 * time.Minute
-	// retireDelay is how long requests in progress may continue on a connection that has been replaced.
+	// retireDelay is how long requests in progress may continue on a connection that has been taken out of use.
 	retireDelay = 10 * time.Second
 	// maxPending bounds the messages of Send that wait for a handshake with one peer.
 	maxPending = 32
@@ -39,8 +39,8 @@
 	openedAt  time.Time
 
 	mu sync.Mutex
-	// receivedBefore is the number of packets that had been received when the oldest send without any packet received
-	// since then was recorded, at unansweredSince.
+	// unansweredSince is the time of the oldest send after which no packet has been received, and receivedBefore the
+	// number of packets that had been received by then.
 	receivedBefore  uint64
 	unansweredSince time.Time
 }
@@ -55,7 +55,8 @@
 	kinds   []string // kind of each pending message
 }
 
-// recordSend records a send and reports whether the connection has been silent for longer than silenceTimeout.
+// recordSend records a send and reports whether the connection is silent: no packet has been received for longer than
+// silenceTimeout since an earlier send.
 func (c *connection) recordSend(now time.Time) (silent bool) {
 	n := c.quic.ConnectionStats().PacketsReceived
 	c.mu.Lock()
@@ -154,7 +155,7 @@
 func (t *Transport) Send(addr string, env *pb.Envelope) {
 	data, err := encode(t.withSender(env), maxOneWayMessage)
 	if err != nil {
-		t.log.WithError(err).Error("message not sent")
+		t.log.WithError(err).Error("encoding a message failed")
 		t.countDropped(1)
 		return
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -4,11 +4,11 @@
 // length-prefixed envelope per direction. One-way messages use streams rather than datagrams because QUIC retransmits
 // the lost data of streams only.
 //
-// There is one outgoing connection per peer, which is dialled on demand and carries only requests and messages of this
-// node. It has no keep-alive and ends after idleTimeout without traffic: with 400 nodes, keep-alives would maintain a
-// full mesh, and failure detection sends its own probes. Gossip and membership use a small, slowly changing view of
-// peers, so that their connections stay open between messages; a handshake with two certificates costs as much as
-// dozens of messages.
+// There is one outgoing connection per peer, which is dialled on demand and carries only the requests and one-way
+// messages of this node and the replies to them. It has no keep-alive and ends after idleTimeout without traffic: with
+// 400 nodes, keep-alives would maintain a full mesh, and failure detection sends its own probes. Gossip and membership
+// use a small, slowly changing view of peers, so that their connections stay open between messages; a handshake with
+// two certificates costs as much as dozens of messages.
 //
 // Each outgoing connection has its own UDP socket. Packets can be lost for good on one pair of ports while others work.
 // A connection is therefore replaced when a request on it times out, or when nothing arrives for silenceTimeout after
