--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,8 +1,8 @@
 // Package netdial opens TCP connections that detect an unresponsive peer.
 //
-// A connection can stop delivering packets for good while new ones work, because a device on the path has lost its state
-// for the connection. Neither end receives a reset then; only keep-alive probes and a bound on unacknowledged data
-// detect it.
+// A connection can stop delivering packets for good while new ones work, because a device on the path has lost its
+// state for the connection. Neither end receives a reset then; only keep-alive probes and a bound on unacknowledged
+// data detect it.
 package netdial
 
 import (
@@ -26,7 +26,7 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
 
-// Dial returns a dial function, as http.Transport.DialContext takes it, that opens connections within the timeout.
+// Dial returns a function, of the type of http.Transport.DialContext, that opens connections within the timeout.
 func Dial(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return dialer.DialContext
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and validates the JSON settings files of the processes. The error for an invalid setting is one
-// line that names the file, the field and the reason.
+// Package settings reads and validates the JSON settings files of the processes. The error for an invalid setting is
+// one line that names the file, the field and the reason.
 package settings
 
 import (
