--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -133,7 +133,7 @@
 		}
 		fieldPath := joinPath(path, string(field.Name()))
 		if seen[field.Number()] {
-			c.fault(fieldPath, "field is set twice")
+			c.fault(fieldPath, "field is stated twice")
 		}
 		seen[field.Number()] = true
 		if err := c.field(field, fieldPath, depth); err != nil {
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -192,7 +192,7 @@
 	for i, route := range service.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		if !slices.Contains(methods, route.Method) {
-			v.fault(item, field+".method", "%q is not a supported HTTP method in upper case", route.Method)
+			v.fault(item, field+".method", "%q is not a method in capitals", route.Method)
 		}
 		if reason := pathReason(route.PathPrefix); reason != "" {
 			v.fault(item, field+".path_prefix", "%s", reason)
@@ -202,7 +202,7 @@
 		}
 		key := route.Method + " " + route.PathPrefix
 		if seen[key] {
-			v.fault(item, field, "method and path prefix are listed twice")
+			v.fault(item, field, "method and path prefix are stated twice")
 		}
 		seen[key] = true
 	}
@@ -295,6 +295,6 @@
 		return
 	}
 	path := "policy." + field
-	reason := fmt.Sprintf("%d is not in the range from %d to %d", value, lowest, highest)
+	reason := fmt.Sprintf("%d is not from %d to %d", value, lowest, highest)
 	v.faults = append(v.faults, Fault{v.origin[path], path, reason})
 }
