--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -40,8 +40,8 @@
 	Log       *logrus.Entry
 	// Tune changes the settings of each backend server before it starts; nil leaves them as they are.
 	Tune func(*pb.StandinServer)
-	// RestartStreams makes the nodes start interrupted responses again from their first token, as the baseline of
-	// measurements.
+	// RestartStreams makes the nodes restart interrupted responses from their first token; measurements use this as
+	// their baseline.
 	RestartStreams bool
 }
 
@@ -66,7 +66,7 @@
 	if opts.Log == nil {
 		opts.Log = logrus.NewEntry(logrus.New())
 	}
-	servers, err := serversFor(opts.ConfigDir)
+	servers, err := standinServers(opts.ConfigDir)
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +91,13 @@
 	c := &Cluster{Standins: standins}
 	standins.setKillNode(c.kill)
 	if err := c.startNodes(opts); err != nil {
-		c.Stop(canceled())
+		c.Stop(canceledContext())
 		return nil, err
 	}
 	return c, nil
 }
 
-func canceled() context.Context {
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -196,7 +196,7 @@
 	return out
 }
 
-// CallerAddrs returns the address for callers of each node.
+// CallerAddrs returns the address at which each node accepts requests of callers.
 func (c *Cluster) CallerAddrs() []string {
 	var out []string
 	for _, n := range c.nodes {
@@ -208,7 +208,7 @@
 // Node returns the i-th entry node.
 func (c *Cluster) Node(i int) *node.Node { return c.nodes[i].node }
 
-// kill stops a node at once, like a crash of its process.
+// kill stops a node without draining, like a crash of its process. It reports whether the node exists.
 func (c *Cluster) kill(name string) bool {
 	for _, n := range c.nodes {
 		if n.settings.Node == name {
@@ -220,7 +220,7 @@
 	return false
 }
 
-// Stop drains the nodes until ctx ends, then stops everything.
+// Stop drains the nodes, kills those that have not finished when ctx ends, and stops the stand-ins.
 func (c *Cluster) Stop(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, n := range c.nodes {
--- a/internal/devcluster/faults.go
+++ b/internal/devcluster/faults.go
@@ -21,16 +21,16 @@
 	Server string `json:"server,omitempty"`
 	// Node names an entry node of this process.
 	Node string `json:"node,omitempty"`
-	// Instances and FailureDomain choose what is reclaimed.
+	// Instances and FailureDomain select the instances to reclaim; FailureDomain takes precedence.
 	Instances       []string `json:"instances,omitempty"`
 	FailureDomain   string   `json:"failure_domain,omitempty"`
 	ReclaimableOnly bool     `json:"reclaimable_only,omitempty"`
 	NoticeMs        int      `json:"notice_ms,omitempty"`
-	// Refuse turns refused starts on or off.
+	// Refuse makes the cloud refuse starts in FailureDomain, or allow them again.
 	Refuse bool `json:"refuse,omitempty"`
-	// Text crashes the engines that run a prompt which contains it.
+	// Text is the poison text: an engine crashes when it runs a prompt that contains it.
 	Text string `json:"text,omitempty"`
-	// Store faults: outage is none, refusing or hanging; shares are in percent.
+	// Outage is none, refusing or hanging. It and the following fields are the faults of the store.
 	Outage       string `json:"outage,omitempty"`
 	LostPercent  int    `json:"lost_percent,omitempty"`
 	LatePercent  int    `json:"late_percent,omitempty"`
@@ -45,7 +45,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-// Stats is what the stand-ins have counted.
+// Stats has the counters of the stand-ins.
 type Stats struct {
 	Engines map[string]engine.Stats `json:"engines"`
 	// Runs counts the runs of each idempotency key, by backend server group.
@@ -56,7 +56,7 @@
 	CostMicros uint64 `json:"cost_micros"`
 }
 
-// faultAPI answers POST /faults/{name}, POST /folder and GET /stats.
+// faultAPI serves POST /faults/{name}, POST /folder and GET /stats.
 func (s *Standins) faultAPI() http.Handler {
 	mux := http.NewServeMux()
 	for name, apply := range map[string]func(FaultRequest) any{
@@ -105,7 +105,7 @@
 func (s *Standins) eachServer(apply func(backendServer)) func(FaultRequest) any {
 	return func(req FaultRequest) any {
 		var out affected
-		for name, server := range s.chosen(req.Server) {
+		for name, server := range s.selectServers(req.Server) {
 			apply(server)
 			out.Affected = append(out.Affected, name)
 		}
@@ -113,8 +113,8 @@
 	}
 }
 
-// chosen returns the named backend server, or all.
-func (s *Standins) chosen(name string) map[string]backendServer {
+// selectServers returns the named backend server, or all if name is empty.
+func (s *Standins) selectServers(name string) map[string]backendServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]backendServer{}
@@ -163,7 +163,7 @@
 
 func (s *Standins) faultDrop(req FaultRequest) any {
 	const percent = 100.0
-	for _, server := range s.chosen(req.Server) {
+	for _, server := range s.selectServers(req.Server) {
 		if service, ok := server.(*service.Service); ok {
 			service.SetDrops(0, float64(req.DropPercent)/percent)
 		}
@@ -183,7 +183,7 @@
 	return affected{[]string{req.Node}}
 }
 
-// editFolder edits the in-memory folder; a folder on disk is edited there.
+// editFolder edits the in-memory folder. It ignores a folder on disk, whose files are edited directly.
 func (s *Standins) editFolder(req FaultRequest) any {
 	folder, ok := s.Platform.Folder.(*platform.MemFolder)
 	if !ok || strings.TrimSpace(req.File) == "" {
@@ -196,7 +196,7 @@
 	return map[string]uint64{"revision": folder.EditFile(req.File, data)}
 }
 
-// Stats returns what the stand-ins have counted.
+// Stats returns the counters of the stand-ins.
 func (s *Standins) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 	return out
 }
 
-// cost sums price times running time; s.mu is held.
+// cost returns the cost of all backend servers, as price times running time; the caller holds s.mu.
 func (s *Standins) cost() uint64 {
 	var sum float64
 	for name, settings := range s.settings {
--- a/internal/devcluster/fleet_test.go
+++ b/internal/devcluster/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Guards against a fleet loop that is not connected: an engine that the cloud took away is replaced, and nothing else
-// is started or stopped, although the loop runs on three nodes.
+// Guards against a fleet loop that is not connected to the cluster: an engine whose instance crashed must be replaced,
+// and no other instance started or stopped, although the loop runs on three nodes.
 func TestFleetReplacesEngine(t *testing.T) {
 	c := startCluster(t)
 	cloud := c.Standins.Platform.Cloud
@@ -21,17 +21,17 @@
 	for {
 		list, err := cloud.Instances(context.Background())
 		assert.NilError(t, err)
-		engines, others := 0, 0
+		engines, started := 0, 0
 		for _, i := range list {
 			if i.BackendGroup == "assistant" && i.State == platform.Live {
 				engines++
 			}
 			if strings.HasPrefix(i.ID, "i-") {
-				others++
+				started++
 			}
 		}
-		assert.Assert(t, others <= 1, "%d instances were started", others)
-		if engines == perGroup && others == 1 {
+		assert.Assert(t, started <= 1, "%d instances were started", started)
+		if engines == minServersPerGroup && started == 1 {
 			return
 		}
 		assert.Assert(t, time.Now().Before(deadline), "%d engines are live: %+v", engines, c.Node(0).Status())
--- a/internal/devcluster/layout.go
+++ b/internal/devcluster/layout.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// perGroup and mostPerGroup bound the backend servers of one group in a development cluster.
-	perGroup     = 8
-	mostPerGroup = 24
+	// minServersPerGroup and maxServersPerGroup bound the engines of one group in a development cluster.
+	minServersPerGroup = 8
+	maxServersPerGroup = 24
 )
 
-// serversFor returns the stand-ins for the groups of a folder, spread over the failure domains.
-func serversFor(dir string) ([]*pb.StandinServer, error) {
+// standinServers returns the stand-ins for the groups of the configuration directory dir, or of the example
+// configuration if dir is empty. They are spread over the failure domains.
+func standinServers(dir string) ([]*pb.StandinServer, error) {
 	files := example.Files()
 	if dir != "" {
 		var err error
@@ -32,13 +33,13 @@
 	index := config.NewIndex(&pb.Snapshot{Merged: merged})
 	var out []*pb.StandinServer
 	for _, group := range merged.BackendGroups {
-		out = append(out, groupServers(merged, index, group)...)
+		out = append(out, serversOfGroup(merged, index, group)...)
 	}
 	return out, nil
 }
 
-func groupServers(merged *pb.FolderFile, index *config.Index, group *pb.BackendGroup) []*pb.StandinServer {
-	count := min(max(int(group.MinServers), perGroup), mostPerGroup)
+func serversOfGroup(merged *pb.FolderFile, index *config.Index, group *pb.BackendGroup) []*pb.StandinServer {
+	count := min(max(int(group.MinServers), minServersPerGroup), maxServersPerGroup)
 	if group.Kind == pb.BackendGroup_PLAIN_SERVICE {
 		count = len(domains)
 	}
@@ -88,7 +89,7 @@
 	return out
 }
 
-// prices lists what the classes of the servers cost in every failure domain.
+// prices returns the prices of the instance classes of the servers, the same in every failure domain.
 func prices(s *pb.StandinSettings) []platform.Price {
 	seen := map[platform.Price]bool{}
 	var out []platform.Price
--- a/internal/devcluster/session_test.go
+++ b/internal/devcluster/session_test.go
@@ -22,12 +22,12 @@
 	logger.SetOutput(io.Discard)
 	c, err := Start(Options{Seed: 1, Log: logrus.NewEntry(logger)})
 	assert.NilError(t, err)
-	t.Cleanup(func() { c.Stop(canceled()) })
+	t.Cleanup(func() { c.Stop(canceledContext()) })
 	return c
 }
 
-// step is one request of a session.
-type step struct {
+// testRequest is one request of a scenario.
+type testRequest struct {
 	title  string
 	node   int
 	method string
@@ -37,8 +37,8 @@
 	body   string
 }
 
-// variable parts of answers that a golden file must not contain.
-var variable = []struct {
+// nondeterministicParts are the parts of a response that differ between runs; text replaces them in the golden file.
+var nondeterministicParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -48,8 +48,8 @@
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "ADDRESS"},
 }
 
-// do sends a step and returns the answer and a transcript of it.
-func (c *Cluster) do(t *testing.T, s step) (answer, transcript string, header http.Header) {
+// do sends a request and returns the response body, a transcript of both and the response header.
+func (c *Cluster) do(t *testing.T, s testRequest) (response, transcript string, header http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(s.method, "http://"+c.CallerAddrs()[s.node]+s.path, strings.NewReader(s.body))
 	assert.NilError(t, err)
@@ -65,29 +65,29 @@
 	body, err := io.ReadAll(res.Body)
 	assert.NilError(t, err)
 	text := string(body)
-	for _, v := range variable {
+	for _, v := range nondeterministicParts {
 		text = v.pattern.ReplaceAllString(text, v.text)
 	}
-	path := variable[0].pattern.ReplaceAllString(s.path, variable[0].text)
+	path := nondeterministicParts[0].pattern.ReplaceAllString(s.path, nondeterministicParts[0].text)
 	transcript = fmt.Sprintf("# %s\n%s %s on entry node %d\n%d code=%s\n%s\n", s.title, s.method, path, s.node+1,
 		res.StatusCode, res.Header.Get("X-Pollenlug-Code"), strings.TrimRight(text, "\n"))
 	return string(body), transcript, res.Header
 }
 
-// Guards against a change of what callers see: forms, codes, event ids, the meaning of "ran", and the resume of a
-// stream on another node.
-func TestSessionOfCallers(t *testing.T) {
+// Guards against changes that callers see: response formats, result codes, event ids, the meaning of "ran", and the
+// resumption of a stream on another node.
+func TestCallerScenario(t *testing.T) {
 	c := startCluster(t)
 	chat := `{"model":"quote-small","messages":[{"role":"user","content":"Quote a ding repair"}],"max_tokens":6,"seed":7,"stream":true}`
 	var out strings.Builder
-	_, text, header := c.do(t, step{title: "streamed completion", node: 0, method: "POST", path: "/v1/chat/completions", token: shopToken, body: chat})
+	_, text, header := c.do(t, testRequest{title: "streamed completion", node: 0, method: "POST", path: "/v1/chat/completions", token: shopToken, body: chat})
 	out.WriteString(text + "\n")
 	id := header.Get("X-Request-Id")
-	for _, s := range []step{
+	for _, s := range []testRequest{
 		{title: "resume on another node", node: 1, method: "GET", path: "/v1/responses/" + id, token: shopToken, header: map[string]string{"Last-Event-ID": "3"}},
 		{title: "resume by another workspace", node: 1, method: "GET", path: "/v1/responses/" + id, token: "council-token"},
-		{title: "resume with an event id that is no number", node: 1, method: "GET", path: "/v1/responses/" + id, token: shopToken, header: map[string]string{"Last-Event-ID": "x"}},
-		{title: "whole answer", node: 2, method: "POST", path: "/v1/completions", token: shopToken, body: `{"model":"quote-small:harbour","prompt":"Tag this ticket","max_tokens":4,"seed":7}`},
+		{title: "resume with an event id that is not a number", node: 1, method: "GET", path: "/v1/responses/" + id, token: shopToken, header: map[string]string{"Last-Event-ID": "x"}},
+		{title: "non-streamed response", node: 2, method: "POST", path: "/v1/completions", token: shopToken, body: `{"model":"quote-small:harbour","prompt":"Tag this ticket","max_tokens":4,"seed":7}`},
 		{title: "no token", node: 0, method: "GET", path: "/v1/models"},
 		{title: "refused token", node: 0, method: "POST", path: "/v1/chat/completions", token: "wrong", body: chat},
 		{title: "models", node: 0, method: "GET", path: "/v1/models", token: shopToken},
@@ -98,7 +98,7 @@
 		{title: "unknown service", node: 1, method: "GET", path: "/s/absent/x", token: shopToken},
 		{title: "missing key on a non-repeatable route", node: 0, method: "POST", path: "/s/booking/bookings", token: shopToken, body: `{"board":1}`},
 		{title: "booking", node: 0, method: "POST", path: "/s/booking/bookings", token: shopToken, header: map[string]string{"Idempotency-Key": "k1"}, body: `{"board":1}`},
-		{title: "same key on another node: the stored answer", node: 1, method: "POST", path: "/s/booking/bookings", token: shopToken, header: map[string]string{"Idempotency-Key": "k1"}, body: `{"board":1}`},
+		{title: "same key on another node: the stored response", node: 1, method: "POST", path: "/s/booking/bookings", token: shopToken, header: map[string]string{"Idempotency-Key": "k1"}, body: `{"board":1}`},
 		{title: "same key with another body", node: 2, method: "POST", path: "/s/booking/bookings", token: shopToken, header: map[string]string{"Idempotency-Key": "k1"}, body: `{"board":2}`},
 		{title: "same key of another workspace", node: 2, method: "POST", path: "/s/booking/bookings", token: "council-token", header: map[string]string{"Idempotency-Key": "k1"}, body: `{"board":2}`},
 		{title: "lookup", node: 2, method: "GET", path: "/s/booking/history?board=1", token: shopToken},
--- a/internal/devcluster/standins.go
+++ b/internal/devcluster/standins.go
@@ -1,5 +1,5 @@
-// Package devcluster runs stand-ins of the platform, the engines and the services, and for `pollenlug dev` three entry
-// nodes besides, in one process on loopback.
+// Package devcluster runs stand-ins for the platform, the engines and the services in one process on loopback. For
+// `pollenlug dev` it also runs entry nodes, three by default.
 package devcluster
 
 import (
@@ -24,23 +24,24 @@
 )
 
 const (
-	// listLag is how old the instance list of the stand-in is.
+	// listLag is the delay of the instance list behind the state of the cloud.
 	listLag = 2 * time.Second
-	// loadLag and cacheEventDelay are the ages of the engines' reports.
+	// loadLag and cacheEventDelay are the delays of the engines' load reports and cache events; cacheEventLoss is the
+	// probability that a cache event is lost.
 	loadLag         = 200 * time.Millisecond
 	cacheEventDelay = 500 * time.Millisecond
 	cacheEventLoss  = 0.02
-	// restartAfter is how soon a crashed engine comes back.
+	// restartAfter is the time after which an engine that a poison request crashed restarts.
 	restartAfter = 3 * time.Second
-	// startDelay is how long the cloud takes to start an instance.
+	// startDelay is the time that the cloud takes to start an instance.
 	startDelay = 3 * time.Second
 	// weightsRate is the rate of the weight store in MiB per second.
 	weightsRate = 10_000
-	// serviceDelay is how long a service call runs.
+	// serviceDelay is the running time of a service call.
 	serviceDelay = 5 * time.Millisecond
 )
 
-// backendServer is what engines and services have in common.
+// backendServer is the interface that engine and service stand-ins share.
 type backendServer interface {
 	Listen(addr string) error
 	Addr() string
@@ -54,21 +55,21 @@
 
 // Standins are the running stand-ins of one process.
 type Standins struct {
-	Platform *standin.Platform
-	seed     uint64
-	log      *logrus.Entry
-	runs     map[string]*service.RunLog // by backend server group
-	tracker  *engine.RecomputeTracker
-	http     []*http.Server
-	addr     string // of the platform
+	Platform     *standin.Platform
+	seed         uint64
+	log          *logrus.Entry
+	runs         map[string]*service.RunLog // by backend server group
+	tracker      *engine.RecomputeTracker
+	httpServers  []*http.Server
+	platformAddr string
 
 	mu       sync.Mutex
 	servers  map[string]backendServer
 	engines  map[string]*engine.Engine
 	settings map[string]*pb.StandinServer
-	// killNode stops an entry node of this process at once.
+	// killNode stops an entry node of this process without draining it.
 	killNode func(node string) bool
-	// started and stopped give the running time of each backend server, for its cost.
+	// started and stopped are the start and stop times of each backend server, from which its cost is calculated.
 	started, stopped map[string]time.Time
 }
 
@@ -85,7 +86,7 @@
 		started:  map[string]time.Time{},
 		stopped:  map[string]time.Time{},
 	}
-	folder, err := folderOf(s.ConfigDir)
+	folder, err := openFolder(s.ConfigDir)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +103,7 @@
 	return out, nil
 }
 
-func folderOf(dir string) (standin.FolderSource, error) {
+func openFolder(dir string) (standin.FolderSource, error) {
 	if dir == "" {
 		return standin.NewMemFolder(example.Files()), nil
 	}
@@ -123,7 +124,7 @@
 		if err != nil {
 			return err
 		}
-		s.addr = addr
+		s.platformAddr = addr
 	}
 	if settings.FaultAddr != "" {
 		if _, err := s.listen(settings.FaultAddr, s.faultAPI()); err != nil {
@@ -134,7 +135,7 @@
 }
 
 // PlatformURL returns the base URL of the platform stand-in.
-func (s *Standins) PlatformURL() string { return "http://" + s.addr }
+func (s *Standins) PlatformURL() string { return "http://" + s.platformAddr }
 
 func (s *Standins) listen(addr string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", addr)
@@ -142,12 +143,12 @@
 		return "", err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
-	s.http = append(s.http, server)
+	s.httpServers = append(s.httpServers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
 
-// addEntry puts an entry node into the instance list.
+// addEntry adds an entry node to the instance list.
 func (s *Standins) addEntry(entry *pb.StandinEntry) {
 	s.Platform.Cloud.Add(platform.Instance{
 		ID:            entry.Node,
@@ -160,9 +161,9 @@
 	}, nil)
 }
 
-// startServer starts a backend server that is in the instance list from the start.
+// startServer starts a backend server and adds it to the instance list.
 func (s *Standins) startServer(settings *pb.StandinServer) error {
-	server, err := s.run(settings)
+	server, err := s.launchServer(settings)
 	if err != nil {
 		return err
 	}
@@ -188,8 +189,8 @@
 	}
 }
 
-// run starts the process of a backend server.
-func (s *Standins) run(settings *pb.StandinServer) (backendServer, error) {
+// launchServer starts a backend server at its configured address, or on a free port if it has none.
+func (s *Standins) launchServer(settings *pb.StandinServer) (backendServer, error) {
 	var server backendServer
 	if settings.Kind == pb.BackendGroup_MODEL_ENGINE {
 		server = s.newEngine(settings)
@@ -246,34 +247,34 @@
 	return service.New(service.Options{Name: settings.Name, Seed: s.seed, Delay: serviceDelay, Runs: runLog})
 }
 
-// launch starts the server of an instance that the cloud API was asked for. It copies the settings of a server of the
-// same group.
+// launch starts the backend server of an instance that was requested from the cloud API. It copies the settings of a
+// server in the same group.
 func (s *Standins) launch(_ context.Context, instance platform.Instance) (standin.Server, error) {
 	s.mu.Lock()
-	var like *pb.StandinServer
+	var template *pb.StandinServer
 	for _, settings := range s.settings {
 		if settings.BackendGroup == instance.BackendGroup {
-			like = settings
+			template = settings
 			break
 		}
 	}
 	s.mu.Unlock()
-	if like == nil {
+	if template == nil {
 		return standin.Server{}, fmt.Errorf("devcluster: no stand-in for group %q", instance.BackendGroup)
 	}
-	settings := proto.Clone(like).(*pb.StandinServer)
+	settings := proto.Clone(template).(*pb.StandinServer)
 	settings.Name, settings.Addr = instance.ID, ""
 	settings.FailureDomain, settings.Region = instance.FailureDomain, instance.Region
 	settings.InstanceClass, settings.Reclaimable = instance.InstanceClass, instance.Reclaimable
 	settings.PricePerHourMicros = instance.PricePerHourMicros
-	server, err := s.run(settings)
+	server, err := s.launchServer(settings)
 	if err != nil {
 		return standin.Server{}, err
 	}
 	return standin.Server{Addr: server.Addr(), Stop: func() { s.stop(settings.Name) }}, nil
 }
 
-// stop ends a backend server at once.
+// stop ends a backend server without draining it.
 func (s *Standins) stop(name string) {
 	s.mu.Lock()
 	server := s.servers[name]
@@ -286,9 +287,9 @@
 	}
 }
 
-// Close stops everything.
+// Close stops the platform, the fault API and all backend servers.
 func (s *Standins) Close() {
-	for _, server := range s.http {
+	for _, server := range s.httpServers {
 		_ = server.Close()
 	}
 	s.Platform.Close()
--- a/internal/example/example_test.go
+++ b/internal/example/example_test.go
@@ -9,16 +9,16 @@
 	"github.com/pollenlug/pollenlug/pkg/config"
 )
 
-func index(t *testing.T, files map[string][]byte) *config.Index {
+func newIndex(t *testing.T, files map[string][]byte) *config.Index {
 	t.Helper()
 	merged, faults := config.Merge(files)
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	return config.NewIndex(&pb.Snapshot{Merged: merged, FolderRevision: 1})
 }
 
-// Guards against a default folder that `pollenlug dev` cannot use, or whose documented tokens do not work.
+// Guards against a default configuration that `pollenlug dev` cannot use, or whose documented tokens do not work.
 func TestDefaultFolder(t *testing.T) {
-	x := index(t, Files())
+	x := newIndex(t, Files())
 	for _, name := range []string{"council", "shop", "archive"} {
 		workspace, ok := x.Workspace(name + "-token")
 		assert.Assert(t, ok)
@@ -36,7 +36,7 @@
 	assert.Assert(t, service.Route("GET", "/anything").Idempotent)
 }
 
-// Guards against examples that do not merge or that lose what the two users need.
+// Guards against example configurations that do not merge or that lack settings of the two example users.
 func TestExamples(t *testing.T) {
 	for _, c := range []struct {
 		user, service, token string
@@ -48,7 +48,7 @@
 		t.Run(c.user, func(t *testing.T) {
 			files, err := config.LoadDir("../../examples/" + c.user)
 			assert.NilError(t, err)
-			x := index(t, files)
+			x := newIndex(t, files)
 			assert.Equal(t, x.Policy().RecomputeWeight, c.weight)
 			assert.Equal(t, x.Policy().FirstToken.Milliseconds(), int64(420))
 			assert.Equal(t, x.Policy().BetweenTokens.Milliseconds(), int64(37))
