--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -9,13 +9,13 @@
 	"github.com/pollenlug/pollenlug/pkg/backend"
 )
 
-// Bounds of the natural length of an answer, in tokens: 64 up to 64<<6 - 1.
+// Bounds of the natural length of a response, in tokens: from 64 to 64<<6 - 1.
 const (
-	shortestAnswer    = 64
-	answerLengthSteps = 6
+	minResponseTokens     = 64
+	responseLengthClasses = 6
 )
 
-// bytesPerToken is the length in bytes from which a word counts as several tokens: a word of n bytes counts as
+// bytesPerToken is the number of bytes of a word that count as one token: a word of n bytes counts as
 // n/bytesPerToken tokens, at least 1.
 const bytesPerToken = 4
 
@@ -31,14 +31,14 @@
 	return words
 }()
 
-// answer determines all tokens of one answer.
-type answer struct {
+// response determines all tokens of one generated response.
+type response struct {
 	digest uint64
 	length uint32
 	finish string
 }
 
-func answerFor(req *backend.GenerateRequest) answer {
+func responseFor(req *backend.GenerateRequest) response {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], req.Seed)
 	var d xxhash.Digest
@@ -49,18 +49,18 @@
 	_, _ = d.WriteString(req.Adapter)
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(req.Prompt)
-	a := answer{digest: d.Sum64(), finish: "stop"}
-	r := mix(a.digest)
-	low := uint32(shortestAnswer) << (r % answerLengthSteps)
-	a.length = low + uint32(r>>32)%low
-	if req.MaxTokens > 0 && req.MaxTokens < a.length {
-		a.length, a.finish = req.MaxTokens, "length"
+	res := response{digest: d.Sum64(), finish: "stop"}
+	r := mix(res.digest)
+	low := uint32(minResponseTokens) << (r % responseLengthClasses)
+	res.length = low + uint32(r>>32)%low
+	if req.MaxTokens > 0 && req.MaxTokens < res.length {
+		res.length, res.finish = req.MaxTokens, "length"
 	}
-	return a
+	return res
 }
 
-func (a answer) token(i uint32) string {
-	return vocabulary[mix(a.digest+uint64(i)+1)%vocabularySize]
+func (res response) token(i uint32) string {
+	return vocabulary[mix(res.digest+uint64(i)+1)%vocabularySize]
 }
 
 // mix is the finalizer of SplitMix64.
@@ -71,27 +71,26 @@
 	return x ^ x>>31
 }
 
-// Answer returns all tokens and the finish reason that every engine gives for req. Only Model, Adapter, Prompt,
+// Answer returns all tokens and the finish reason with which every engine responds to req. Only Model, Adapter, Prompt,
 // Seed and MaxTokens matter. MaxTokens 0 means no limit below the natural length.
 func Answer(req backend.GenerateRequest) (tokens []string, finishReason string) {
-	a := answerFor(&req)
-	tokens = make([]string, a.length)
+	res := responseFor(&req)
+	tokens = make([]string, res.length)
 	for i := range tokens {
-		tokens[i] = a.token(uint32(i))
+		tokens[i] = res.token(uint32(i))
 	}
-	return tokens, a.finish
+	return tokens, res.finish
 }
 
-// CountTokens returns the number of tokens of a text: its words, where a word of n bytes counts as n/4 tokens, at
-// least 1.
+// CountTokens returns the number of tokens of a text. A word of n bytes counts as n/4 tokens, at least 1.
 func CountTokens(text string) int {
 	total := 0
 	countWords(text, func(_, tokens int) { total += tokens })
 	return total
 }
 
-// countWords calls word with the start and the token count of each word.
-func countWords(text string, word func(start, tokens int)) {
+// countWords calls visit with the start and the token count of each word.
+func countWords(text string, visit func(start, tokens int)) {
 	start := -1
 	for i := 0; i <= len(text); i++ {
 		if i < len(text) && !isSpace(text[i]) {
@@ -101,7 +100,7 @@
 			continue
 		}
 		if start >= 0 {
-			word(start, max(1, (i-start)/bytesPerToken))
+			visit(start, max(1, (i-start)/bytesPerToken))
 			start = -1
 		}
 	}
@@ -111,8 +110,8 @@
 	return b < utf8.RuneSelf && strings.IndexByte(" \t\n\r\v\f", b) >= 0
 }
 
-// blockTokens returns the hashes of the whole prefix blocks of a prompt, the tokens of each block and the tokens of
-// the whole prompt. The tokens of a word are spread over its bytes, so that a long word fills several blocks.
+// blockTokens returns the hashes of the complete prefix blocks of a prompt, the token count of each block and that
+// of the whole prompt. The tokens of a word are spread over its bytes, so that a long word fills several blocks.
 func blockTokens(model, adapter, prompt string) (hashes []uint64, tokens []int, total int) {
 	hashes = backend.PrefixBlocks(nil, model, adapter, prompt)
 	tokens = make([]int, len(hashes))
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -2,31 +2,31 @@
 
 import "container/list"
 
-// prefixCache is the KV cache: blocks of prompt prefixes and the private tokens of running sequences share one
-// memory. Blocks that no running sequence uses are evicted, least recently used first. The memory may be exceeded by
-// what running sequences need; admission prevents this except for the growth of answers.
+// prefixCache is the KV cache. Blocks of prompt prefixes and the private tokens of running sequences share its limit.
+// Blocks that no running sequence uses are evicted, least recently used first. Running sequences can exceed the limit
+// while their responses grow, which admission does not foresee.
 type prefixCache struct {
-	limit   int // tokens; 0 means no limit
-	blocks  map[uint64]*cacheBlock
-	unused  *list.List // of *cacheBlock without users, least recently used first
-	tokens  int        // in blocks
-	idle    int        // in blocks without users
-	private int        // of running sequences and imports, outside blocks
-	event   func(hash uint64, removed bool)
+	limit         int // tokens; 0 means no limit
+	blocks        map[uint64]*cacheBlock
+	unused        *list.List // of *cacheBlock without users, least recently used first
+	tokens        int        // in blocks
+	unusedTokens  int        // in blocks without users
+	privateTokens int        // of running sequences and imports, outside blocks
+	onEvent       func(hash uint64, removed bool)
 }
 
 type cacheBlock struct {
 	hash    uint64
 	tokens  int
 	users   int
-	element *list.Element // place in unused; nil while the block has users
+	element *list.Element // position in unused; nil while the block has users
 }
 
-func newPrefixCache(limit int, event func(hash uint64, removed bool)) *prefixCache {
-	return &prefixCache{limit: limit, blocks: map[uint64]*cacheBlock{}, unused: list.New(), event: event}
+func newPrefixCache(limit int, onEvent func(hash uint64, removed bool)) *prefixCache {
+	return &prefixCache{limit: limit, blocks: map[uint64]*cacheBlock{}, unused: list.New(), onEvent: onEvent}
 }
 
-// match returns how many leading blocks the cache has.
+// match returns the number of leading blocks that the cache has.
 func (c *prefixCache) match(hashes []uint64) int {
 	for i, h := range hashes {
 		if c.blocks[h] == nil {
@@ -43,67 +43,67 @@
 		if b.users++; b.element != nil {
 			c.unused.Remove(b.element)
 			b.element = nil
-			c.idle -= b.tokens
+			c.unusedTokens -= b.tokens
 		}
 	}
 }
 
-// unpin reverses pin. The last block of a prefix becomes the least recently used one, since a block is of no use
-// without those before it.
+// unpin reverses pin. The last block of a prefix becomes the least recently used one of them, because a block cannot
+// be used without those before it.
 func (c *prefixCache) unpin(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		b := c.blocks[hashes[i]]
 		if b.users--; b.users == 0 {
 			b.element = c.unused.PushBack(b)
-			c.idle += b.tokens
+			c.unusedTokens += b.tokens
 		}
 	}
 	c.evict()
 }
 
-// insert moves tokens of a sequence from its private memory to blocks, and pins them.
+// insert moves private tokens of a sequence to blocks and pins the blocks.
 func (c *prefixCache) insert(hashes []uint64, tokens []int) {
 	for i, h := range hashes {
-		c.private -= tokens[i]
+		c.privateTokens -= tokens[i]
 		if c.blocks[h] == nil {
-			// The block starts as unused, so that pin finds it in the same state as others.
+			// The block starts as unused, the state in which pin expects it.
 			b := &cacheBlock{hash: h, tokens: tokens[i]}
 			b.element = c.unused.PushBack(b)
 			c.blocks[h] = b
 			c.tokens += b.tokens
-			c.idle += b.tokens
-			c.event(h, false)
+			c.unusedTokens += b.tokens
+			c.onEvent(h, false)
 		}
 		c.pin(hashes[i : i+1])
 	}
 	c.evict()
 }
 
-// grow adds to the private tokens and evicts blocks to make room.
-func (c *prefixCache) grow(tokens int) {
-	c.private += tokens
+// addPrivate adds to the private tokens and evicts blocks to make room.
+func (c *prefixCache) addPrivate(tokens int) {
+	c.privateTokens += tokens
 	c.evict()
 }
 
-// fits tells whether more tokens fit after the eviction of all unused blocks.
+// fits reports whether more tokens fit after the eviction of all unused blocks.
 func (c *prefixCache) fits(tokens int) bool {
-	return c.limit == 0 || c.tokens-c.idle+c.private+tokens <= c.limit
+	return c.limit == 0 || c.tokens-c.unusedTokens+c.privateTokens+tokens <= c.limit
 }
 
 func (c *prefixCache) evict() {
-	for c.limit > 0 && c.tokens+c.private > c.limit && c.unused.Len() > 0 {
+	for c.limit > 0 && c.tokens+c.privateTokens > c.limit && c.unused.Len() > 0 {
 		b := c.unused.Remove(c.unused.Front()).(*cacheBlock)
 		delete(c.blocks, b.hash)
 		c.tokens -= b.tokens
-		c.idle -= b.tokens
-		c.event(b.hash, true)
+		c.unusedTokens -= b.tokens
+		c.onEvent(b.hash, true)
 	}
 }
 
-// percent returns the used share of the memory.
+// percent returns the used share of the limit in percent; without a limit it is 0.
 func (c *prefixCache) percent() uint32 {
 	if c.limit == 0 {
 		return 0
 	}
-	return uint32(min(100, (c.tokens+c.private)*100/c.limit))
+	return uint32(min(100, (c.tokens+c.privateTokens)*100/c.limit))
 }
--- a/internal/standin/engine/cache_test.go
+++ b/internal/standin/engine/cache_test.go
@@ -15,41 +15,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// checkMemory checks that the sums of the cache agree with its blocks.
-func checkMemory(t *testing.T, e *Engine) {
+// checkCacheAccounting checks that the counters of the cache agree with its blocks.
+func checkCacheAccounting(t *testing.T, e *Engine) {
 	t.Helper()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	tokens, idle, unused := 0, 0, 0
+	tokens, unusedTokens, unused := 0, 0, 0
 	for _, b := range e.cache.blocks {
 		tokens += b.tokens
 		assert.Assert(t, b.users >= 0)
 		assert.Equal(t, b.element != nil, b.users == 0)
 		if b.users == 0 {
-			idle += b.tokens
+			unusedTokens += b.tokens
 			unused++
 		}
 	}
-	private := 0
+	privateTokens := 0
 	for _, s := range e.running {
-		private += s.private
+		privateTokens += s.privateTokens
 	}
 	for _, kv := range e.imports {
-		private += kv.Tokens
+		privateTokens += kv.Tokens
 	}
 	assert.Equal(t, e.cache.tokens, tokens)
-	assert.Equal(t, e.cache.idle, idle)
+	assert.Equal(t, e.cache.unusedTokens, unusedTokens)
 	assert.Equal(t, e.cache.unused.Len(), unused)
-	assert.Equal(t, e.cache.private, private)
+	assert.Equal(t, e.cache.privateTokens, privateTokens)
 	if len(e.running) == 0 {
-		assert.Equal(t, idle, tokens)
-		assert.Assert(t, tokens+private <= e.options.CacheTokens)
+		assert.Equal(t, unusedTokens, tokens)
+		assert.Assert(t, tokens+privateTokens <= e.options.CacheTokens)
 	}
 }
 
-// Guards against memory that leaks or is counted twice when requests share prefixes, wait, are cancelled in every
-// state or arrive with an imported KV cache. A leak would end in an engine that admits one request at a time.
-func TestMemoryIsAccountedFor(t *testing.T) {
+// Guards against cache memory that leaks or is counted twice when requests share prefixes, wait, are cancelled in any
+// state or arrive with an imported KV cache. With a leak an engine ends up admitting one request at a time.
+func TestCacheMemoryAccounting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Options{Models: []string{"m"}, CacheTokens: 3000, MaxBatch: 8})
 		defer e.Close()
@@ -58,11 +58,11 @@
 		for i := range prompts {
 			prompts[i] = strings.Repeat("base ", 100+50*(i%3)) + strings.Repeat(fmt.Sprint("w", i, " "), 100*i)
 		}
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 300 {
 			req := backend.GenerateRequest{ID: fmt.Sprint(i), Model: "m", Prompt: prompts[random.IntN(len(prompts))], MaxTokens: 1 + random.Uint32N(100)}
 			if i%5 == 0 {
-				kv := exportedKV{ID: req.ID, Digest: answerFor(&req).digest, Tokens: 100}
+				kv := exportedKV{ID: req.ID, Digest: responseFor(&req).digest, Tokens: 100}
 				if e.importKV(req.ID, kv) == nil && i%10 == 0 {
 					req.KVFrom = req.ID
 				}
@@ -70,7 +70,7 @@
 			s, err := e.submit(req)
 			assert.NilError(t, err)
 			timeout := time.Duration(1+random.IntN(3000)) * time.Millisecond
-			all.Go(func() {
+			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
 				for !s.finished.Load() && ctx.Err() == nil {
@@ -82,19 +82,19 @@
 				e.cancel(s)
 			})
 			time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
-			checkMemory(t, e)
+			checkCacheAccounting(t, e)
 		}
-		all.Wait()
-		checkMemory(t, e)
+		wg.Wait()
+		checkCacheAccounting(t, e)
 		stats := e.Stats()
 		assert.Assert(t, stats.Cancelled > 0 && stats.CachedTokens > 0 && stats.KVImports > 0)
 		time.Sleep(2 * importLifetime)
-		assert.NilError(t, e.importKV("last", exportedKV{Tokens: 3000}), "expired imports still take memory")
+		assert.NilError(t, e.importKV("last", exportedKV{Tokens: 3000}), "expired imports still occupy memory")
 	})
 }
 
-// Guards against a moved request that waits for memory which its own imported KV cache takes.
-func TestImportedRequestNeedsNoSecondMemory(t *testing.T) {
+// Guards against a moved request that waits for memory that its own imported KV cache occupies.
+func TestImportedKVCacheIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Options{Models: []string{"m"}, CacheTokens: 1000})
 		defer e.Close()
@@ -102,7 +102,7 @@
 		_, err := e.submit(first)
 		assert.NilError(t, err)
 		moved := backend.GenerateRequest{ID: "2", Model: "m", Prompt: strings.Repeat("xyz ", 450), MaxTokens: 60, KVFrom: "2"}
-		assert.NilError(t, e.importKV("2", exportedKV{ID: "2", Digest: answerFor(&moved).digest, Tokens: 450}))
+		assert.NilError(t, e.importKV("2", exportedKV{ID: "2", Digest: responseFor(&moved).digest, Tokens: 450}))
 		_, err = e.submit(moved)
 		assert.NilError(t, err)
 		time.Sleep(100 * time.Millisecond)
@@ -112,7 +112,7 @@
 	})
 }
 
-// Guards against a handler that keeps writing on a frozen engine, or stays behind after Unfreeze.
+// Guards against a handler that keeps writing while the engine is frozen, or does not continue after Unfreeze.
 func TestFreezeStopsTheStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Options{Models: []string{"m"}})
@@ -139,8 +139,9 @@
 	})
 }
 
-// Guards against answers that depend on more than model, adapter, prompt, seed and length limit, or on less.
-func TestAnswerDependsOnTheRequestOnly(t *testing.T) {
+// Guards against responses that depend on anything but model, adapter, prompt, seed and length limit, or that ignore
+// one of them.
+func TestResponseDependsOnTheRequestOnly(t *testing.T) {
 	base := backend.GenerateRequest{ID: "1", Attempt: 1, Model: "m", Adapter: "a", Prompt: "p", Seed: 1, MaxTokens: 50}
 	tokens, finish := Answer(base)
 	assert.Equal(t, finish, "length")
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,23 +1,23 @@
-// Package engine is a stand-in for a model engine: continuous batching, a prefix cache in limited memory, late and
-// incomplete cache events, lagging load reports, KV cache export and import, orders and fault hooks.
+// Package engine is a stand-in for a model engine. It has continuous batching, a prefix cache of limited size, delayed
+// and incomplete cache events, delayed load reports, KV cache export and import, orders and fault injection.
 //
-// Answers are deterministic, see Answer: they never depend on the attempt or the server, so that a test can compare
-// an answer that was continued on another engine token by token. One goroutine runs the batch. Since every token can
+// Responses are deterministic, see Answer: they do not depend on the attempt or the server, so that a test can compare
+// a response that was continued on another engine token by token. One goroutine runs the batch. Since every token can
 // be computed from its offset, the loop only publishes the position of each sequence; the HTTP handlers write the
-// tokens. A slow reader thus never holds up the batch.
+// tokens. A slow reader therefore never delays the batch.
 //
 // The protocol is JSON over HTTP/1.1:
 //
-//	POST /v1/generate           backend.GenerateRequest; the answer has one backend.Chunk per token and line, the
+//	POST /v1/generate           backend.GenerateRequest; the response has one backend.Chunk per line and token, the
 //	                            last with finish_reason and usage; an empty line is a heartbeat while the
 //	                            request waits or is prefilled
 //	GET  /v1/load               backend.Load
 //	GET  /v1/cache-events       list of backend.CacheEvent with a sequence greater than the parameter after
-//	POST /v1/kv/export?id=ID    KV cache of a running request; 404 when it does not run
+//	POST /v1/kv/export?id=ID    KV cache of a running request; 404 if it is not running
 //	POST /v1/kv/import?id=ID    makes a KV cache available to the request that names ID in kv_from
 //	POST /v1/orders             backend.Order
 //
-// Status 503 means that a request was refused and did not start, 409 that a fencing number is stale.
+// Status 503 means that a request was refused and did not start, 409 that a fencing token is stale.
 package engine
 
 import (
@@ -47,47 +47,48 @@
 )
 
 const (
-	// prefillChunkTokens is the most prompt work of one step; it bounds how long a prompt delays running sequences.
+	// prefillChunkTokens is the maximum number of tokens prefilled in one step. It bounds how long a prompt delays
+	// running sequences.
 	prefillChunkTokens = 512
 	// heartbeatInterval is the time between heartbeats to requests that have no token yet.
 	heartbeatInterval = time.Second
-	// stepSlack is how far the loop may fall behind its schedule before it stops catching up.
+	// stepSlack is the delay behind the schedule from which the loop starts a new schedule instead of catching up.
 	stepSlack = 5 * time.Millisecond
-	// importLifetime is how long an imported KV cache waits for its request.
+	// importLifetime is the time after which an imported KV cache that no request has used is dropped.
 	importLifetime = 30 * time.Second
 )
 
-// RoleStandby is the role of an engine that refuses requests. Other roles serve.
+// RoleStandby is the role of an engine that refuses requests. Engines with any other role serve them.
 const RoleStandby = "standby"
 
-// Options configure an engine. Zero values of numbers mean the defaults, of durations otherwise none.
+// Options configure an engine. A zero value means the default where there is one; otherwise it means none.
 type Options struct {
 	Name string
-	// Models are loaded from the start and after each restart, as "model" or "model:adapter".
+	// Models are loaded when the engine starts and after each restart, as "model" or "model:adapter".
 	Models []string
 	Seed   uint64
-	// StepBase is the time of a decode step with an empty batch; StepPerSequence is added per decoding sequence.
+	// StepBase is the duration of a decode step with an empty batch; StepPerSequence is added per decoding sequence.
 	StepBase               time.Duration
 	StepPerSequence        time.Duration
 	PrefillTokensPerSecond int
-	// CacheTokens is the memory for prefixes and running sequences.
+	// CacheTokens is the memory for prefixes and running sequences, in tokens.
 	CacheTokens int
-	// MaxBatch and MaxWaiting bound running and waiting requests; more are refused.
+	// MaxBatch and MaxWaiting bound running and waiting requests. A request that finds MaxWaiting others waiting is refused.
 	MaxBatch   int
 	MaxWaiting int
-	// ChecksFencing makes the engine refuse orders with an old fencing number; otherwise the number is ignored.
+	// ChecksFencing makes the engine refuse orders with a stale fencing token; otherwise the token is ignored.
 	ChecksFencing bool
-	// LoadTime is how long a model takes from the order until it serves.
+	// LoadTime is the time from the order to load a model until the engine serves it.
 	LoadTime time.Duration
-	// LoadLag is the age of load reports, CacheEventDelay that of new cache events.
+	// LoadLag is the delay of load reports, CacheEventDelay that of cache events.
 	LoadLag         time.Duration
 	CacheEventDelay time.Duration
 	// CacheEventLoss is the probability that a cache event is lost.
 	CacheEventLoss float64
-	// RestartAfter restarts the engine this long after a poisoned request crashed it; 0 leaves it down.
+	// RestartAfter restarts the engine this long after a poison request crashed it; 0 leaves it crashed.
 	RestartAfter time.Duration
-	// Tracker is shared by the engines of a fleet to count recomputed tokens exactly; nil means attempts above 1
-	// count as recomputation of all that they prefill.
+	// Tracker is shared by the engines of a fleet to count recomputed tokens exactly. If it is nil, all tokens that
+	// attempts after the first prefill count as recomputed.
 	Tracker *RecomputeTracker
 	// Listen opens listeners; nil means TCP.
 	Listen netfault.ListenFunc
@@ -124,64 +125,64 @@
 	}
 }
 
-// Engine is one engine. It implements http.Handler; Listen serves it on an address of its own, which Crash closes.
+// Engine is an engine stand-in. It implements http.Handler; Listen serves it at its own address until Crash.
 type Engine struct {
-	options Options
-	net     *netfault.Server
-	wake    chan struct{} // capacity 1
-	closing chan struct{}
-	closed  sync.Once
-
-	served   atomic.Uint64 // tokens written to callers
-	isFrozen atomic.Bool   // frozen is not nil; spares the lock for each token
-
-	lifecycle sync.Mutex // held for the whole of Crash and Restart; taken before mu
-
-	mu        sync.Mutex
-	dead      chan struct{} // closed by Crash
-	crashed   bool
-	frozen    chan struct{} // closed by Unfreeze; nil when not frozen
-	poison    string
-	random    *rand.Rand
-	started   int64 // Unix milliseconds
-	running   []*sequence
-	waiting   waitingQueue
-	byID      map[string]*sequence
-	arrivals  uint64
-	cache     *prefixCache
-	imports   map[string]*importedKV
-	models    map[string]*loadedModel
-	role      string
-	fencing   uint64
-	events    eventLog
-	loads     loadHistory
-	stepTime  time.Duration
-	heartbeat time.Time
-	stats     Stats
+	options   Options
+	net       *netfault.Server
+	wake      chan struct{} // capacity 1
+	closing   chan struct{}
+	closeOnce sync.Once
+
+	servedTokens atomic.Uint64 // tokens written to clients
+	isFrozen     atomic.Bool   // true while frozen is not nil; read without the lock for each token
+
+	lifecycle sync.Mutex // held during Crash and Restart; acquired before mu
+
+	mu            sync.Mutex
+	crashSignal   chan struct{} // closed by Crash
+	crashed       bool
+	frozen        chan struct{} // closed by Unfreeze; nil when not frozen
+	poison        string
+	random        *rand.Rand
+	started       int64 // Unix milliseconds
+	running       []*sequence
+	waiting       waitingQueue
+	byID          map[string]*sequence
+	arrivals      uint64
+	cache         *prefixCache
+	imports       map[string]*importedKV
+	models        map[string]*loadedModel
+	role          string
+	fencing       uint64
+	events        eventLog
+	loads         loadHistory
+	stepTime      time.Duration
+	lastHeartbeat time.Time
+	stats         Stats
 }
 
-// sequence is one request on the engine. The engine's lock guards it, except for the fields from position on.
+// sequence is one request on the engine. Engine.mu guards it, except for the fields from position on.
 type sequence struct {
-	request  backend.GenerateRequest
-	answer   answer
-	arrival  uint64
-	priority uint32
-	hashes   []uint64
-	tokens   []int // per block
-	prompt   int   // tokens of the prompt
-
-	pinned  int // leading blocks that are pinned in the cache
-	private int // tokens in private memory
-	cached  int
-	prefill int // tokens still to prefill
-	planned int // tokens to prefill in the current step
-	done    int // prefilled tokens
-	active  bool
-	ended   bool
-	record  progressRecord
-
-	position atomic.Uint32 // tokens of the answer so far, resumed ones included
-	finished atomic.Bool   // set after usage and the last position
+	request      backend.GenerateRequest
+	response     response
+	arrival      uint64
+	priority     uint32
+	hashes       []uint64
+	blockTokens  []int // per block
+	promptTokens int   // tokens of the prompt
+
+	pinned           int // leading blocks that are pinned in the cache
+	privateTokens    int // tokens in private memory
+	cachedTokens     int
+	remainingPrefill int // tokens still to prefill
+	plannedPrefill   int // tokens to prefill in the current step
+	prefilledTokens  int // prefilled tokens
+	active           bool
+	ended            bool
+	earlierProgress  progressRecord
+
+	position atomic.Uint32 // response tokens so far, including resumed ones
+	finished atomic.Bool   // set after usage and the final position
 	usage    backend.Usage
 	notify   chan struct{} // capacity 1
 }
@@ -211,10 +212,10 @@
 	return e
 }
 
-// reset gives the engine the state of a process that has just started. The fencing number is kept, as engines that
-// check it keep it with their configuration.
+// reset puts the engine into the state of a process that has just started. The fencing token is kept, because engines
+// that check it store it with their configuration.
 func (e *Engine) reset() {
-	e.dead = make(chan struct{})
+	e.crashSignal = make(chan struct{})
 	e.crashed = false
 	e.started = max(time.Now().UnixMilli(), e.started+1)
 	e.running = nil
@@ -240,21 +241,21 @@
 // Listen serves the engine at addr, an IP:port.
 func (e *Engine) Listen(addr string) error { return e.net.Listen(addr) }
 
-// Net returns the server of Listen, for faults of its connections.
+// Net returns the server behind Listen, for injecting connection faults.
 func (e *Engine) Net() *netfault.Server { return e.net }
 
-// Addr returns the address of Listen.
+// Addr returns the address at which the engine listens, or "" before Listen.
 func (e *Engine) Addr() string { return e.net.Addr() }
 
-// Close ends the engine and its connections.
+// Close stops the engine and closes its connections.
 func (e *Engine) Close() {
-	e.closed.Do(func() { close(e.closing) })
+	e.closeOnce.Do(func() { close(e.closing) })
 	e.Crash()
 	e.net.Close()
 }
 
 func (e *Engine) loop() {
-	var last time.Time // scheduled end of the step before
+	var scheduledEnd time.Time // scheduled end of the previous step
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -262,7 +263,7 @@
 		step, ok, poisoned := e.planStep(time.Now())
 		e.mu.Unlock()
 		if poisoned {
-			e.crashPoisoned()
+			e.crashAndScheduleRestart()
 			continue
 		}
 		if !ok {
@@ -273,13 +274,13 @@
 			}
 			continue
 		}
-		// The schedule is absolute, so that late timers do not slow the engine down.
+		// The schedule is absolute, so that timers which fire late do not slow the engine down.
 		now := time.Now()
-		if now.Sub(last) > stepSlack {
-			last = now
+		if now.Sub(scheduledEnd) > stepSlack {
+			scheduledEnd = now
 		}
-		last = last.Add(step)
-		timer.Reset(last.Sub(now))
+		scheduledEnd = scheduledEnd.Add(step)
+		timer.Reset(scheduledEnd.Sub(now))
 		select {
 		case <-timer.C:
 		case <-e.closing:
@@ -292,8 +293,8 @@
 	}
 }
 
-// planStep admits waiting requests, distributes the prompt work and returns the time of the step. It returns
-// poisoned when an admitted request crashes the engine.
+// planStep admits waiting requests, distributes the prefill work and returns the duration of the step. ok is false if
+// there is nothing to run; poisoned is true if an admitted request crashes the engine.
 func (e *Engine) planStep(now time.Time) (step time.Duration, ok, poisoned bool) {
 	e.expireImports(now)
 	for len(e.waiting) > 0 && len(e.running) < e.options.MaxBatch {
@@ -311,9 +312,9 @@
 	budget := prefillChunkTokens
 	decoding := 0
 	for _, s := range e.running {
-		s.planned = min(s.prefill, budget)
-		budget -= s.planned
-		if s.prefill == 0 {
+		s.plannedPrefill = min(s.remainingPrefill, budget)
+		budget -= s.plannedPrefill
+		if s.remainingPrefill == 0 {
 			decoding++
 		}
 	}
@@ -324,141 +325,143 @@
 	return step, true, false
 }
 
-// admit moves a request into the batch, unless memory is short and other sequences will free some.
+// admit adds a request to the batch. It returns false if the request does not fit into memory now and running
+// sequences will free some.
 func (e *Engine) admit(s *sequence) bool {
-	total := s.prompt + len(s.request.Resume)
+	total := s.promptTokens + len(s.request.Resume)
 	blocks := e.cache.match(s.hashes)
 	cached := 0
-	for _, n := range s.tokens[:blocks] {
+	for _, n := range s.blockTokens[:blocks] {
 		cached += n
 	}
 	kv := e.imports[s.request.KVFrom]
-	imported := kv != nil && kv.Digest == s.answer.digest
+	imported := kv != nil && kv.Digest == s.response.digest
 	private := total - cached
 	e.cache.pin(s.hashes[:blocks])
 	need := private
 	if imported {
-		need -= kv.Tokens // its memory passes to the sequence
+		need -= kv.Tokens // the sequence takes over its memory
 	}
 	if !e.cache.fits(need) && len(e.running) > 0 {
 		e.cache.unpin(s.hashes[:blocks])
 		return false
 	}
 	if imported {
-		e.cache.private -= kv.Tokens
+		e.cache.privateTokens -= kv.Tokens
 		delete(e.imports, s.request.KVFrom)
 		cached = max(cached, min(total, kv.Tokens))
 	}
 	s.pinned = blocks
-	s.private = private
-	e.cache.grow(private)
-	s.cached = cached
-	s.prefill = total - cached
+	s.privateTokens = private
+	e.cache.addPrivate(private)
+	s.cachedTokens = cached
+	s.remainingPrefill = total - cached
 	s.active = true
-	s.record = e.options.Tracker.attempt(s.request.ID)
+	s.earlierProgress = e.options.Tracker.progress(s.request.ID)
 	e.running = append(e.running, s)
 	e.stats.Runs++
 	e.stats.CachedTokens += uint64(cached)
 	return true
 }
 
-// applyStep ends a step: prompt work is done and each sequence whose prompt is complete gets one token.
+// applyStep completes a step: the planned tokens are prefilled, and each sequence whose prefill is complete gets one
+// token.
 func (e *Engine) applyStep(now time.Time) {
-	keep := e.running[:0]
+	remaining := e.running[:0]
 	for _, s := range e.running {
 		e.advance(s)
 		if !s.ended {
-			keep = append(keep, s)
+			remaining = append(remaining, s)
 		}
 	}
-	clear(e.running[len(keep):])
-	e.running = keep
-	if now.Sub(e.heartbeat) >= heartbeatInterval {
-		e.heartbeat = now
+	clear(e.running[len(remaining):])
+	e.running = remaining
+	if now.Sub(e.lastHeartbeat) >= heartbeatInterval {
+		e.lastHeartbeat = now
 		e.signalWaiting()
 	}
 	e.recordLoad(now, len(e.running) == 0)
 }
 
 func (e *Engine) advance(s *sequence) {
-	if s.prefill > 0 {
-		e.countPrefill(s, s.planned)
-		s.prefill -= s.planned
-		s.planned = 0
-		if s.prefill > 0 {
+	if s.remainingPrefill > 0 {
+		e.countPrefill(s, s.plannedPrefill)
+		s.remainingPrefill -= s.plannedPrefill
+		s.plannedPrefill = 0
+		if s.remainingPrefill > 0 {
 			return
 		}
 	}
 	if s.pinned < len(s.hashes) {
-		for _, n := range s.tokens[s.pinned:] {
-			s.private -= n
+		for _, n := range s.blockTokens[s.pinned:] {
+			s.privateTokens -= n
 		}
-		e.cache.insert(s.hashes[s.pinned:], s.tokens[s.pinned:])
+		e.cache.insert(s.hashes[s.pinned:], s.blockTokens[s.pinned:])
 		s.pinned = len(s.hashes)
 	}
 	position := s.position.Load()
-	if position < s.answer.length {
+	if position < s.response.length {
 		e.countGenerated(s, position)
-		s.private++
-		e.cache.grow(1)
+		s.privateTokens++
+		e.cache.addPrivate(1)
 		position++
 		s.position.Store(position)
 	}
-	if position >= s.answer.length {
+	if position >= s.response.length {
 		e.end(s)
 	}
 	s.signal()
 }
 
-// end frees what a running sequence holds; the caller removes it from running.
+// end releases the memory of a running sequence; the caller removes it from running.
 func (e *Engine) end(s *sequence) {
 	s.ended = true
 	s.usage = backend.Usage{
-		PromptTokens:    uint32(s.prompt),
-		CachedTokens:    uint32(s.cached),
-		PrefilledTokens: uint32(s.done),
+		PromptTokens:    uint32(s.promptTokens),
+		CachedTokens:    uint32(s.cachedTokens),
+		PrefilledTokens: uint32(s.prefilledTokens),
 		GeneratedTokens: s.position.Load() - uint32(len(s.request.Resume)),
 	}
 	s.finished.Store(true)
-	e.cache.private -= s.private
+	e.cache.privateTokens -= s.privateTokens
 	e.cache.unpin(s.hashes[:s.pinned])
-	e.forget(s)
+	e.unregister(s)
 }
 
-// forget notes how far an admitted request got.
-func (e *Engine) forget(s *sequence) {
+// unregister removes an admitted request from byID and records its progress in the tracker.
+func (e *Engine) unregister(s *sequence) {
 	if e.byID[s.request.ID] == s {
 		delete(e.byID, s.request.ID)
 	}
-	computed := s.cached + s.done
-	if s.prefill == 0 {
-		computed = s.prompt + int(s.position.Load())
+	computed := s.cachedTokens + s.prefilledTokens
+	if s.remainingPrefill == 0 {
+		computed = s.promptTokens + int(s.position.Load())
 	}
-	e.options.Tracker.note(s.request.ID, computed, s.position.Load())
+	e.options.Tracker.record(s.request.ID, computed, s.position.Load())
 }
 
-// signalWaiting makes the handlers of requests without a token send a heartbeat.
+// signalWaiting makes the handlers of requests that have no token yet send a heartbeat.
 func (e *Engine) signalWaiting() {
 	for _, s := range e.waiting {
 		s.signal()
 	}
 	for _, s := range e.running {
-		if s.prefill > 0 {
+		if s.remainingPrefill > 0 {
 			s.signal()
 		}
 	}
 }
 
-// refusal says why a request did not start.
+// refusal is the reason for which the engine did not start a request.
 type refusal string
 
 // Error implements error.
 func (r refusal) Error() string { return string(r) }
 
-// submit puts a request into the waiting queue.
+// submit adds a request to the waiting queue, or returns a refusal.
 func (e *Engine) submit(req backend.GenerateRequest) (*sequence, error) {
-	s := &sequence{request: req, answer: answerFor(&req), priority: req.Priority, notify: make(chan struct{}, 1)}
-	s.hashes, s.tokens, s.prompt = blockTokens(req.Model, req.Adapter, req.Prompt)
+	s := &sequence{request: req, response: responseFor(&req), priority: req.Priority, notify: make(chan struct{}, 1)}
+	s.hashes, s.blockTokens, s.promptTokens = blockTokens(req.Model, req.Adapter, req.Prompt)
 	s.position.Store(uint32(len(req.Resume)))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -471,12 +474,12 @@
 		return nil, refusal("model or adapter is not loaded")
 	case len(e.waiting) >= e.options.MaxWaiting:
 		return nil, refusal("queue is full")
-	case s.prompt+len(req.Resume) > e.options.CacheTokens:
+	case s.promptTokens+len(req.Resume) > e.options.CacheTokens:
 		return nil, refusal("request exceeds the memory")
 	}
-	if len(req.Resume) >= int(s.answer.length) { // complete already; only the end is missing
+	if len(req.Resume) >= int(s.response.length) { // all tokens are there; only the end is missing
 		s.ended = true
-		s.usage.PromptTokens = uint32(s.prompt)
+		s.usage.PromptTokens = uint32(s.promptTokens)
 		s.finished.Store(true)
 		s.signal()
 		return s, nil
@@ -493,7 +496,7 @@
 	return s, nil
 }
 
-// cancel removes a request whose caller has gone; for a finished one it does nothing.
+// cancel removes a request whose client has disconnected. It does nothing for a finished request.
 func (e *Engine) cancel(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -519,7 +522,7 @@
 	e.recordLoad(time.Now(), len(e.running) == 0)
 }
 
-// waitingQueue is a heap by priority, then by arrival.
+// waitingQueue is a heap ordered by priority, highest first, then by arrival.
 type waitingQueue []*sequence
 
 // Len implements heap.Interface.
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -19,7 +19,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a set of engines in virtual time. Engine i has the address "engine-i:1".
+// fleet is a set of engines on an in-process network. Engine i has the address "engine-i:1".
 type fleet struct {
 	t       *testing.T
 	engines []*engine.Engine
@@ -49,15 +49,16 @@
 	f.client.Close()
 }
 
-// generate returns all tokens that arrive, and checks that the offsets have neither gap nor repetition.
-func (f *fleet) generate(ctx context.Context, server int, req backend.GenerateRequest, stopAt int) ([]string, *backend.Usage, error) {
+// generate returns all tokens received and checks that their offsets have neither gaps nor duplicates. If crashAfter
+// is not 0, the engine crashes after that many tokens.
+func (f *fleet) generate(ctx context.Context, server int, req backend.GenerateRequest, crashAfter int) ([]string, *backend.Usage, error) {
 	var tokens []string
 	var usage *backend.Usage
 	err := f.client.Generate(ctx, fmt.Sprintf("engine-%d:1", server), req, func(c backend.Chunk) error {
 		assert.Equal(f.t, int(c.Offset), len(req.Resume)+len(tokens))
 		tokens = append(tokens, c.Tokens...)
 		usage = c.Usage
-		if stopAt > 0 && len(tokens) == stopAt {
+		if crashAfter > 0 && len(tokens) == crashAfter {
 			f.engines[server].Crash()
 		}
 		return nil
@@ -65,16 +66,16 @@
 	return tokens, usage, err
 }
 
-func words(n int, word string) string { return strings.TrimSpace(strings.Repeat(word+" ", n)) }
+func repeatWord(n int, word string) string { return strings.TrimSpace(strings.Repeat(word+" ", n)) }
 
-// Guards against an answer that changes when another engine continues it after a crash.
+// Guards against a response that changes when another engine continues it after a crash.
 func TestContinuationOnAnotherEngineIsIdentical(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, engine.Options{Seed: 1})
 		defer f.close()
 		random := rand.New(rand.NewPCG(7, 7))
 		for i := range 20 {
-			req := backend.GenerateRequest{ID: fmt.Sprint(i), Attempt: 1, Model: "m", Adapter: "a", Prompt: words(50+i, "reef"), Seed: uint64(i), MaxTokens: 100}
+			req := backend.GenerateRequest{ID: fmt.Sprint(i), Attempt: 1, Model: "m", Adapter: "a", Prompt: repeatWord(50+i, "reef"), Seed: uint64(i), MaxTokens: 100}
 			want, _ := engine.Answer(req)
 			first, _, err := f.generate(t.Context(), i%2, req, 1+random.IntN(len(want)-1))
 			assert.ErrorIs(t, err, backend.ErrInterrupted)
@@ -90,7 +91,7 @@
 	})
 }
 
-// Guards against a batch slot that stays taken after its caller has gone.
+// Guards against a batch slot that stays occupied after its client has disconnected.
 func TestCancelFreesTheBatchSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{MaxBatch: 1})
@@ -115,16 +116,16 @@
 	})
 }
 
-// Guards against requests that overtake others of a higher priority.
+// Guards against waiting requests that start before others of a higher priority.
 func TestWaitingRequestsRunByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{MaxBatch: 1})
 		defer f.close()
 		var mu sync.Mutex
 		var order []string
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i, priority := range []uint32{0, 0, 2, 1, 2} {
-			all.Go(func() {
+			wg.Go(func() {
 				id := fmt.Sprint(i)
 				_, _, err := f.generate(t.Context(), 0, backend.GenerateRequest{ID: id, Model: "m", Prompt: id, Priority: priority, MaxTokens: 20}, 0)
 				assert.Check(t, err)
@@ -134,12 +135,12 @@
 			})
 			time.Sleep(5 * time.Millisecond)
 		}
-		all.Wait()
+		wg.Wait()
 		assert.DeepEqual(t, order, []string{"0", "2", "4", "3", "1"})
 	})
 }
 
-// Guards against a cache that grows over its memory, keeps the wrong prefixes or hides what it evicts.
+// Guards against a cache that exceeds its limit, evicts the wrong prefixes or sends no events for evicted blocks.
 func TestCacheEvictsTheLeastRecentlyUsedPrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{CacheTokens: 500, CacheEventDelay: time.Second})
@@ -157,33 +158,33 @@
 		assert.Equal(t, len(events), 0, "an event is visible before its delay")
 		run("bbb")
 		assert.Equal(t, run("bbb").CachedTokens, uint32(256))
-		// Of "aaa" the first blocks stay, as far as they fit.
+		// As many of the first blocks of "aaa" stay as fit.
 		assert.Equal(t, run("aaa").CachedTokens, uint32(192))
 		time.Sleep(2 * time.Second)
 		events, err = f.client.CacheEvents(t.Context(), "engine-0:1", 0)
 		assert.NilError(t, err)
-		held := map[uint64]bool{}
+		cached := map[uint64]bool{}
 		for _, event := range events {
 			if event.Removed {
-				delete(held, event.Block)
+				delete(cached, event.Block)
 			} else {
-				held[event.Block] = true
+				cached[event.Block] = true
 			}
 		}
 		for _, h := range backend.PrefixBlocks(nil, "m", "", strings.Repeat("aaa ", 256)[:1024]) {
-			assert.Assert(t, held[h], "the events do not show a cached block")
+			assert.Assert(t, cached[h], "the events do not show a cached block")
 		}
-		assert.Assert(t, len(held)*64 <= 500, "%d blocks exceed the memory", len(held))
+		assert.Assert(t, len(cached)*64 <= 500, "%d blocks exceed the memory", len(cached))
 	})
 }
 
-// Guards against cache events that arrive complete although some are to be lost, and against a loss that depends on
-// anything but the seed.
+// Guards against cache events that all arrive although some must be lost, and against a loss that depends on anything
+// but the seed.
 func TestLostCacheEventsLeaveGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{Seed: 3, CacheEventLoss: 0.5})
 		defer f.close()
-		_, _, err := f.generate(t.Context(), 0, backend.GenerateRequest{ID: "1", Model: "m", Prompt: words(4000, "tide"), MaxTokens: 1}, 0)
+		_, _, err := f.generate(t.Context(), 0, backend.GenerateRequest{ID: "1", Model: "m", Prompt: repeatWord(4000, "tide"), MaxTokens: 1}, 0)
 		assert.NilError(t, err)
 		events, err := f.client.CacheEvents(t.Context(), "engine-0:1", 0)
 		assert.NilError(t, err)
@@ -201,10 +202,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, engine.Options{Tracker: engine.NewRecomputeTracker()})
 		defer f.close()
-		req := backend.GenerateRequest{ID: "r", Attempt: 1, Model: "m", Prompt: words(1000, "keel"), MaxTokens: 60}
+		req := backend.GenerateRequest{ID: "r", Attempt: 1, Model: "m", Prompt: repeatWord(1000, "keel"), MaxTokens: 60}
 		want, _ := engine.Answer(req)
 		var kv []byte
-		stop := errors.New("moved")
+		errMoved := errors.New("moved")
 		err := f.client.Generate(t.Context(), "engine-0:1", req, func(c backend.Chunk) error {
 			req.Resume = append(req.Resume, c.Tokens...)
 			if len(req.Resume) < 30 {
@@ -213,9 +214,9 @@
 			var err error
 			kv, err = f.client.ExportKV(t.Context(), "engine-0:1", "r")
 			assert.NilError(t, err)
-			return stop
+			return errMoved
 		})
-		assert.ErrorIs(t, err, stop)
+		assert.ErrorIs(t, err, errMoved)
 		assert.NilError(t, f.client.ImportKV(t.Context(), "engine-1:1", "r", kv))
 		req.Attempt = 2
 		req.KVFrom = "r"
@@ -232,22 +233,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, engine.Options{Tracker: engine.NewRecomputeTracker()})
 		defer f.close()
-		req := backend.GenerateRequest{ID: "r", Attempt: 1, Model: "m", Prompt: words(100, "keel"), MaxTokens: 60}
+		req := backend.GenerateRequest{ID: "r", Attempt: 1, Model: "m", Prompt: repeatWord(100, "keel"), MaxTokens: 60}
 		first, _, err := f.generate(t.Context(), 0, req, 40)
 		assert.ErrorIs(t, err, backend.ErrInterrupted)
-		reached := f.engines[0].Stats().GeneratedTokens
-		assert.Assert(t, reached >= uint64(len(first)))
+		generated := f.engines[0].Stats().GeneratedTokens
+		assert.Assert(t, generated >= uint64(len(first)))
 		req.Attempt = 2
 		req.Resume = first[:10] // the position after the tenth token was lost
 		_, _, err = f.generate(t.Context(), 1, req, 0)
 		assert.NilError(t, err)
-		assert.Equal(t, f.engines[1].Stats().RecomputedTokens, 100+reached)
+		assert.Equal(t, f.engines[1].Stats().RecomputedTokens, 100+generated)
 	})
 }
 
-// Guards against orders of an old lease holder that an engine obeys although it checks fencing numbers, and against
-// a check where there should be none.
-func TestStaleFencingNumbers(t *testing.T) {
+// Guards against an engine that checks fencing tokens but executes orders of an earlier lease holder, and against a
+// check by an engine that should make none.
+func TestStaleFencingTokens(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, engine.Options{ChecksFencing: checks})
@@ -273,8 +274,8 @@
 	}
 }
 
-// Guards against a poisoned request that does not crash the engine, a crash that is not seen by other requests, and
-// an engine that does not come back.
+// Guards against a poison request that does not crash the engine, a crash that does not interrupt other requests, and
+// an engine that does not restart.
 func TestPoisonCrashesTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{RestartAfter: time.Second})
@@ -300,14 +301,14 @@
 	})
 }
 
-// Guards against load reports without the lag that real engines have.
+// Guards against load reports without the delay that those of real engines have.
 func TestLoadReportsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, engine.Options{LoadLag: time.Second})
 		defer f.close()
 		time.Sleep(3 * time.Second)
-		var all sync.WaitGroup
-		all.Go(func() {
+		var wg sync.WaitGroup
+		wg.Go(func() {
 			_, _, err := f.generate(t.Context(), 0, backend.GenerateRequest{ID: "1", Model: "m", Prompt: "a", Seed: 4}, 0)
 			assert.Check(t, err)
 		})
@@ -319,7 +320,7 @@
 		load, err = f.client.Load(t.Context(), "engine-0:1")
 		assert.NilError(t, err)
 		assert.Equal(t, load.Running, uint32(1))
-		all.Wait()
+		wg.Wait()
 		time.Sleep(3 * time.Second)
 		load, err = f.client.Load(t.Context(), "engine-0:1")
 		assert.NilError(t, err)
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Crash ends the engine as the end of its process does: connections are closed, new ones are refused until Restart,
-// and cache, queue and loaded models are lost. A crashed engine is not frozen.
+// Crash simulates the end of the engine's process: connections are closed, new ones are refused until Restart, and
+// cache, queue and loaded models are lost. A crashed engine is not frozen.
 func (e *Engine) Crash() {
 	e.lifecycle.Lock()
 	defer e.lifecycle.Unlock()
@@ -16,7 +16,7 @@
 	e.stats.Crashes++
 	for _, s := range e.running {
 		s.ended = true
-		e.forget(s)
+		e.unregister(s)
 	}
 	for _, s := range e.waiting {
 		s.ended = true
@@ -24,20 +24,20 @@
 	e.running = nil
 	e.waiting = nil
 	e.unfreeze()
-	close(e.dead)
+	close(e.crashSignal)
 	e.mu.Unlock()
 	e.net.Crash()
 }
 
-func (e *Engine) crashPoisoned() {
+func (e *Engine) crashAndScheduleRestart() {
 	e.Crash()
 	if e.options.RestartAfter > 0 {
 		time.AfterFunc(e.options.RestartAfter, func() { _ = e.Restart() })
 	}
 }
 
-// Restart starts a crashed engine again, empty and with the models of its options. It returns an error when the
-// address is taken; for an engine that runs it does nothing.
+// Restart restarts a crashed engine with an empty cache and the models of its options. It returns an error if the
+// address is in use; for an engine that is running it does nothing.
 func (e *Engine) Restart() error {
 	e.lifecycle.Lock()
 	defer e.lifecycle.Unlock()
@@ -56,7 +56,7 @@
 	return e.net.Restart()
 }
 
-// Freeze stops all progress: connections stay open and nothing moves until Unfreeze or Crash.
+// Freeze stops all progress: connections stay open, but no data is sent or received until Unfreeze or Crash.
 func (e *Engine) Freeze() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// SetPoison makes the engine crash when it starts to run a prompt that contains text; "" ends this.
+// SetPoison makes the engine crash when it starts to run a prompt that contains text; "" turns this off.
 func (e *Engine) SetPoison(text string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -17,13 +17,13 @@
 
 // ServeHTTP implements http.Handler. While the engine is crashed it aborts the connection.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	dead := e.incarnation()
-	if dead == nil || !e.waitUnfrozen(r.Context(), dead) {
+	crashSignal := e.currentCrashSignal()
+	if crashSignal == nil || !e.waitUnfrozen(r.Context(), crashSignal) {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "POST /v1/generate":
-		e.serveGenerate(w, r, dead)
+		e.serveGenerate(w, r, crashSignal)
 	case "GET /v1/load":
 		e.mu.Lock()
 		load := e.reportedLoad(time.Now())
@@ -42,7 +42,7 @@
 	}
 }
 
-func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request, dead <-chan struct{}) {
+func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request, crashSignal <-chan struct{}) {
 	var req backend.GenerateRequest
 	if !readJSON(w, r, &req) {
 		return
@@ -66,13 +66,13 @@
 		case <-s.notify:
 		case <-r.Context().Done():
 			return
-		case <-dead:
+		case <-crashSignal:
 			panic(http.ErrAbortHandler)
 		}
-		if !e.waitUnfrozen(r.Context(), dead) {
+		if !e.waitUnfrozen(r.Context(), crashSignal) {
 			panic(http.ErrAbortHandler)
 		}
-		finished := s.finished.Load() // before position, which does not move after the end
+		finished := s.finished.Load() // read before position, which is final once finished is set
 		position := s.position.Load()
 		buf = s.appendChunks(buf[:0], sent, position, finished)
 		if _, err := w.Write(buf); err != nil {
@@ -81,7 +81,7 @@
 		if flush.Flush() != nil {
 			return
 		}
-		e.served.Add(uint64(position - sent))
+		e.servedTokens.Add(uint64(position - sent))
 		sent = position
 		if finished {
 			return
@@ -89,7 +89,8 @@
 	}
 }
 
-// appendChunks appends one line per token from sent to position, or an empty line when there is none.
+// appendChunks appends one line per token from sent to position. Without tokens it appends an empty line, or the end of
+// a finished response.
 func (s *sequence) appendChunks(buf []byte, sent, position uint32, finished bool) []byte {
 	if sent == position && !finished {
 		return append(buf, '\n')
@@ -98,7 +99,7 @@
 		buf = append(buf, `{"offset":`...)
 		buf = strconv.AppendUint(buf, uint64(i), 10)
 		buf = append(buf, `,"tokens":["`...)
-		buf = append(buf, s.answer.token(i)...)
+		buf = append(buf, s.response.token(i)...)
 		buf = append(buf, `"]`...)
 		if finished && i == position-1 {
 			buf = s.appendEnd(buf)
@@ -116,7 +117,7 @@
 
 func (s *sequence) appendEnd(buf []byte) []byte {
 	buf = append(buf, `,"finish_reason":"`...)
-	buf = append(buf, s.answer.finish...)
+	buf = append(buf, s.response.finish...)
 	buf = append(buf, `","usage":`...)
 	usage, _ := json.Marshal(s.usage) // a struct of numbers cannot fail
 	return append(buf, usage...)
@@ -176,7 +177,7 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone when this fails
+	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
 
 func writeError(w http.ResponseWriter, err error) {
@@ -191,18 +192,18 @@
 	http.Error(w, err.Error(), status)
 }
 
-// incarnation returns a channel that closes with the next crash, or nil while the engine is crashed.
-func (e *Engine) incarnation() <-chan struct{} {
+// currentCrashSignal returns a channel that is closed by the next crash, or nil while the engine is crashed.
+func (e *Engine) currentCrashSignal() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed {
 		return nil
 	}
-	return e.dead
+	return e.crashSignal
 }
 
-// waitUnfrozen blocks while the engine is frozen. It returns false when ctx, the incarnation or the engine ends.
-func (e *Engine) waitUnfrozen(ctx context.Context, dead <-chan struct{}) bool {
+// waitUnfrozen blocks while the engine is frozen. It returns false if ctx ends, the engine crashes or it is closed.
+func (e *Engine) waitUnfrozen(ctx context.Context, crashSignal <-chan struct{}) bool {
 	for e.isFrozen.Load() {
 		e.mu.Lock()
 		frozen := e.frozen
@@ -214,7 +215,7 @@
 		case <-frozen:
 		case <-ctx.Done():
 			return false
-		case <-dead:
+		case <-crashSignal:
 			return false
 		case <-e.closing:
 			return false
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -10,10 +10,11 @@
 	"github.com/pollenlug/pollenlug/pkg/backend"
 )
 
-// maxEvents bounds the cache events an engine keeps; a reader that is further behind sees a gap.
+// maxEvents is the minimum number of cache events that a full log retains, and half of the maximum. A reader that is
+// further behind sees a gap.
 const maxEvents = 8192
 
-// eventLog keeps cache events in the order of their numbers. A lost event leaves a gap in the numbers.
+// eventLog has the recent cache events in order of their sequence numbers. A lost event leaves a gap in the numbers.
 type eventLog struct {
 	loss     float64
 	sequence uint64
@@ -21,8 +22,8 @@
 }
 
 type delayedEvent struct {
-	visible time.Time
-	event   backend.CacheEvent
+	visibleAt time.Time
+	event     backend.CacheEvent
 }
 
 func (l *eventLog) clear() {
@@ -30,7 +31,7 @@
 	l.events = nil
 }
 
-func (l *eventLog) add(visible time.Time, block uint64, removed, lost bool) {
+func (l *eventLog) add(visibleAt time.Time, block uint64, removed, lost bool) {
 	l.sequence++
 	if lost {
 		return
@@ -38,14 +39,14 @@
 	if len(l.events) >= 2*maxEvents {
 		l.events = append(l.events[:0], l.events[maxEvents:]...)
 	}
-	l.events = append(l.events, delayedEvent{visible, backend.CacheEvent{Sequence: l.sequence, Block: block, Removed: removed}})
+	l.events = append(l.events, delayedEvent{visibleAt, backend.CacheEvent{Sequence: l.sequence, Block: block, Removed: removed}})
 }
 
 func (l *eventLog) after(sequence uint64, now time.Time) []backend.CacheEvent {
 	first := sort.Search(len(l.events), func(i int) bool { return l.events[i].event.Sequence > sequence })
 	out := []backend.CacheEvent{}
 	for _, e := range l.events[first:] {
-		if e.visible.After(now) {
+		if e.visibleAt.After(now) {
 			break
 		}
 		out = append(out, e.event)
@@ -53,10 +54,10 @@
 	return out
 }
 
-// loadSamplesPerLag is how many samples of the load are kept per lag time.
+// loadSamplesPerLag is the number of load samples that are taken during LoadLag.
 const loadSamplesPerLag = 8
 
-// loadHistory keeps samples of the load, so that reports can lag.
+// loadHistory has the recent load samples, from which delayed reports are made.
 type loadHistory struct {
 	samples []loadSample
 }
@@ -66,7 +67,7 @@
 	load backend.Load
 }
 
-// recordLoad takes a sample when the last one is old enough, or when forced.
+// recordLoad adds a sample if the last one is old enough or if force is set.
 func (e *Engine) recordLoad(now time.Time, force bool) {
 	h := &e.loads
 	if e.options.LoadLag == 0 {
@@ -103,13 +104,13 @@
 		StartedUnixMillis: e.started,
 	}
 	for _, s := range e.running {
-		load.PrefillTokens += uint32(s.prefill)
+		load.PrefillTokens += uint32(s.remainingPrefill)
 	}
 	for _, s := range e.waiting {
-		load.PrefillTokens += uint32(s.prompt + len(s.request.Resume))
+		load.PrefillTokens += uint32(s.promptTokens + len(s.request.Resume))
 	}
 	for name, m := range e.models {
-		if now.Before(m.ready) {
+		if now.Before(m.readyAt) {
 			continue
 		}
 		load.Models = append(load.Models, name)
@@ -124,7 +125,7 @@
 
 type loadedModel struct {
 	version  string
-	ready    time.Time
+	readyAt  time.Time
 	adapters map[string]bool
 }
 
@@ -132,7 +133,7 @@
 	if m := e.models[model]; m != nil && m.version == version {
 		return
 	}
-	e.models[model] = &loadedModel{version: version, ready: time.Now().Add(loadTime), adapters: map[string]bool{}}
+	e.models[model] = &loadedModel{version: version, readyAt: time.Now().Add(loadTime), adapters: map[string]bool{}}
 }
 
 func (e *Engine) loadAdapter(model, adapter string) bool {
@@ -148,7 +149,7 @@
 
 func (e *Engine) serves(model, adapter string, now time.Time) bool {
 	m := e.models[model]
-	return m != nil && !now.Before(m.ready) && (adapter == "" || m.adapters[adapter])
+	return m != nil && !now.Before(m.readyAt) && (adapter == "" || m.adapters[adapter])
 }
 
 var (
@@ -156,7 +157,7 @@
 	errUnknownOrder = errors.New("unknown kind of order")
 )
 
-// order puts an order into force. Requests that run already are not affected by an unload or a change of role.
+// order executes an order. Requests that are already running are not affected by an unload or a change of role.
 func (e *Engine) order(o backend.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,8 +185,8 @@
 	return nil
 }
 
-// unload removes an adapter, or a model when no adapter is named. An order for another version than the loaded one
-// is out of date and does nothing.
+// unload removes an adapter, or a model if no adapter is named. An order for another version than the loaded one
+// is out of date and ignored.
 func (e *Engine) unload(o backend.Order) {
 	m := e.models[o.Model]
 	switch {
@@ -197,8 +198,8 @@
 	}
 }
 
-// exportedKV describes the KV cache of a request. A real one has the tensors; here the digest of the request and
-// the number of tokens are enough.
+// exportedKV describes the KV cache of a request. In place of the tensors that a real engine exports it has only the
+// digest of the request and the number of tokens.
 type exportedKV struct {
 	ID     string `json:"id"`
 	Digest uint64 `json:"digest"`
@@ -214,11 +215,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.byID[id]
-	if s == nil || !s.active || s.prefill > 0 {
+	if s == nil || !s.active || s.remainingPrefill > 0 {
 		return exportedKV{}, false
 	}
 	e.stats.KVExports++
-	return exportedKV{ID: id, Digest: s.answer.digest, Tokens: s.prompt + int(s.position.Load())}, true
+	return exportedKV{ID: id, Digest: s.response.digest, Tokens: s.promptTokens + int(s.position.Load())}, true
 }
 
 func (e *Engine) importKV(id string, kv exportedKV) error {
@@ -226,14 +227,14 @@
 	defer e.mu.Unlock()
 	e.expireImports(time.Now())
 	if old := e.imports[id]; old != nil {
-		e.cache.private -= old.Tokens
+		e.cache.privateTokens -= old.Tokens
 		delete(e.imports, id)
 	}
 	if !e.cache.fits(kv.Tokens) {
 		return refusal("no memory for the KV cache")
 	}
 	e.imports[id] = &importedKV{kv, time.Now().Add(importLifetime)}
-	e.cache.grow(kv.Tokens)
+	e.cache.addPrivate(kv.Tokens)
 	e.stats.KVImports++
 	return nil
 }
@@ -241,13 +242,13 @@
 func (e *Engine) expireImports(now time.Time) {
 	for id, kv := range e.imports {
 		if now.After(kv.expires) {
-			e.cache.private -= kv.Tokens
+			e.cache.privateTokens -= kv.Tokens
 			delete(e.imports, id)
 		}
 	}
 }
 
-// Stats counts the work of an engine since New, over restarts.
+// Stats has the counters of an engine since New, across restarts.
 type Stats struct {
 	Runs            uint64 `json:"runs"` // requests that entered the batch
 	Cancelled       uint64 `json:"cancelled"`
@@ -255,9 +256,9 @@
 	CachedTokens    uint64 `json:"cached_tokens"`
 	PrefilledTokens uint64 `json:"prefilled_tokens"`
 	GeneratedTokens uint64 `json:"generated_tokens"`
-	// RecomputedTokens are those that were prefilled or generated again because an attempt lost its position.
+	// RecomputedTokens were prefilled or generated again because an earlier attempt was interrupted.
 	RecomputedTokens uint64 `json:"recomputed_tokens"`
-	// ServedTokens were written to a caller.
+	// ServedTokens were written to a client.
 	ServedTokens uint64 `json:"served_tokens"`
 	Orders       uint64 `json:"orders"`
 	StaleOrders  uint64 `json:"stale_orders"`
@@ -270,11 +271,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	stats := e.stats
-	stats.ServedTokens = e.served.Load()
+	stats.ServedTokens = e.servedTokens.Load()
 	return stats
 }
 
-// Running returns the number of sequences in the batch at present, without the lag of load reports.
+// Running returns the current number of sequences in the batch, without the delay of load reports.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -282,21 +283,21 @@
 }
 
 func (e *Engine) countPrefill(s *sequence, tokens int) {
-	s.done += tokens
+	s.prefilledTokens += tokens
 	e.stats.PrefilledTokens += uint64(tokens)
 	switch {
 	case e.options.Tracker == nil && s.request.Attempt > 1:
 		e.stats.RecomputedTokens += uint64(tokens)
 	case e.options.Tracker != nil:
-		// Tokens are computed in order, so those below the earlier attempts' count are computed again.
-		before := s.cached + s.done - tokens
-		e.stats.RecomputedTokens += uint64(max(0, min(s.cached+s.done, s.record.computed)-before))
+		// Tokens are computed in order, so those below the count of earlier attempts are recomputed.
+		before := s.cachedTokens + s.prefilledTokens - tokens
+		e.stats.RecomputedTokens += uint64(max(0, min(s.cachedTokens+s.prefilledTokens, s.earlierProgress.computed)-before))
 	}
 }
 
 func (e *Engine) countGenerated(s *sequence, position uint32) {
 	e.stats.GeneratedTokens++
-	if position < s.record.generated {
+	if position < s.earlierProgress.generated {
 		e.stats.RecomputedTokens++
 	}
 }
@@ -304,15 +305,16 @@
 // maxProgressRecords bounds the memory of a RecomputeTracker.
 const maxProgressRecords = 1 << 17
 
-// RecomputeTracker remembers how far any engine got with each response. Engines of one process share it, to count recomputed
-// tokens. A nil RecomputeTracker remembers nothing.
+// RecomputeTracker has the furthest progress of any engine with each response. The engines of one process share it to
+// count recomputed tokens. A nil RecomputeTracker records nothing.
 type RecomputeTracker struct {
 	mu      sync.Mutex
 	records map[string]progressRecord
 	order   []string // oldest first
 }
 
-// progressRecord has the tokens of prompt and resume that an attempt has computed, and the position it reached.
+// progressRecord is the number of leading tokens of prompt and response that attempts have computed, and the response
+// position that they reached.
 type progressRecord struct {
 	computed  int
 	generated uint32
@@ -323,28 +325,28 @@
 	return &RecomputeTracker{records: map[string]progressRecord{}}
 }
 
-func (l *RecomputeTracker) attempt(id string) progressRecord {
-	if l == nil {
+func (t *RecomputeTracker) progress(id string) progressRecord {
+	if t == nil {
 		return progressRecord{}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.records[id]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.records[id]
 }
 
-func (l *RecomputeTracker) note(id string, computed int, generated uint32) {
-	if l == nil {
+func (t *RecomputeTracker) record(id string, computed int, generated uint32) {
+	if t == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	old, known := l.records[id]
-	if !known {
-		if len(l.order) >= maxProgressRecords {
-			delete(l.records, l.order[0])
-			l.order = l.order[1:]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	old, ok := t.records[id]
+	if !ok {
+		if len(t.order) >= maxProgressRecords {
+			delete(t.records, t.order[0])
+			t.order = t.order[1:]
 		}
-		l.order = append(l.order, id)
+		t.order = append(t.order, id)
 	}
-	l.records[id] = progressRecord{max(old.computed, computed), max(old.generated, generated)}
+	t.records[id] = progressRecord{max(old.computed, computed), max(old.generated, generated)}
 }
--- a/internal/standin/netfault/netfault.go
+++ b/internal/standin/netfault/netfault.go
@@ -1,5 +1,5 @@
-// Package netfault serves an HTTP handler over connections that can be made to fail: closed all at once, refused,
-// or open without any progress. The stand-ins use it to show the faults of a process and of the network.
+// Package netfault serves an HTTP handler over connections with fault injection: all connections can be closed or
+// refused, or stay open without progress. The stand-ins use it to simulate faults of a process and of the network.
 package netfault
 
 import (
@@ -17,7 +17,7 @@
 	handler http.Handler
 	listen  ListenFunc
 
-	lifecycle sync.Mutex // held for the whole of Listen, Crash and Restart; taken before mu
+	lifecycle sync.Mutex // held during Listen, Crash and Restart; acquired before mu
 
 	mu       sync.Mutex
 	addr     string
@@ -27,7 +27,7 @@
 	frozen   chan struct{} // closed by Unfreeze; nil when the server is not frozen
 	closed   bool
 
-	isFrozen atomic.Bool // frozen is not nil; spares the lock for each write
+	isFrozen atomic.Bool // true while frozen is not nil; read without the lock for each write
 }
 
 // ListenFunc opens a listener at an address.
@@ -41,7 +41,7 @@
 	return &Server{handler: handler, listen: listen, conns: map[*conn]struct{}{}}
 }
 
-// Listen starts to serve at addr, an IP:port, and returns. Port 0 chooses a free port, which Restart uses again.
+// Listen starts to serve at addr, an IP:port, and returns. Port 0 picks a free port, which Restart reuses.
 func (s *Server) Listen(addr string) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// Restart listens at the same address again after Crash. It does nothing when the server is not crashed.
+// Restart listens at the same address again after Crash. It does nothing if the server has not crashed.
 func (s *Server) Restart() error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -110,7 +110,7 @@
 	return s.open(addr)
 }
 
-// Close ends the server for good.
+// Close crashes the server and makes further calls of Listen and Restart fail.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -118,7 +118,8 @@
 	s.Crash()
 }
 
-// Freeze stops all progress: connections stay open and new ones are accepted, but no byte moves until Unfreeze.
+// Freeze stops all progress: connections stay open and new ones are accepted, but no data is transferred until Unfreeze
+// or Crash.
 func (s *Server) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,18 +144,18 @@
 	}
 }
 
-// SilenceOpen makes the connections that are open now silent until their peer closes them; new ones work. It
-// returns their number.
+// SilenceOpen stalls the connections that are open now: they transfer no more data and stay open until their peer
+// closes them. New connections work. It returns the number of stalled connections.
 func (s *Server) SilenceOpen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.silenceOnce.Do(func() { close(c.silent) })
+		c.stallOnce.Do(func() { close(c.stalled) })
 	}
 	return len(s.conns)
 }
 
-func (s *Server) frozenNow() chan struct{} {
+func (s *Server) frozenSignal() chan struct{} {
 	if !s.isFrozen.Load() {
 		return nil
 	}
@@ -174,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, server: l.server, silent: make(chan struct{}), closed: make(chan struct{})}
+	c := &conn{Conn: raw, server: l.server, stalled: make(chan struct{}), closed: make(chan struct{})}
 	l.server.mu.Lock()
 	l.server.conns[c] = struct{}{}
 	crashed := l.server.listener != l.Listener
@@ -185,62 +186,63 @@
 	return c, nil
 }
 
-// conn passes bytes on unless the server is frozen or the connection is silent.
+// conn transfers data unless the server is frozen or the connection is stalled.
 type conn struct {
 	net.Conn
-	server      *Server
-	silent      chan struct{}
-	silenceOnce sync.Once
-	closed      chan struct{}
-	closeOnce   sync.Once
+	server    *Server
+	stalled   chan struct{}
+	stallOnce sync.Once
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// pass blocks while no byte may move.
-func (c *conn) pass() error {
+// waitUnblocked blocks while the server is frozen or the connection is stalled. It returns net.ErrClosed if the
+// connection is closed meanwhile.
+func (c *conn) waitUnblocked() error {
 	for {
 		select {
-		case <-c.silent:
+		case <-c.stalled:
 			<-c.closed
 			return net.ErrClosed
 		default:
 		}
-		frozen := c.server.frozenNow()
+		frozen := c.server.frozenSignal()
 		if frozen == nil {
 			return nil
 		}
 		select {
 		case <-frozen:
-		case <-c.silent:
+		case <-c.stalled:
 		case <-c.closed:
 			return net.ErrClosed
 		}
 	}
 }
 
-// Read implements net.Conn. An end of the connection is always reported, so that a silent connection which the
-// peer closes does not stay.
+// Read implements net.Conn. It always reports the end of the connection, so that a stalled connection is released when
+// its peer closes it.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil {
 			var timeout net.Error
 			if !errors.As(err, &timeout) || !timeout.Timeout() {
-				_ = c.Close() // releases a Write that waits; a timeout is how net/http ends its own pending read
+				_ = c.Close() // releases a blocked Write; net/http ends its own pending read by a timeout
 			}
 			return n, err
 		}
 		select {
-		case <-c.silent:
-			continue // drops what arrives
+		case <-c.stalled:
+			continue // discards the data
 		default:
 		}
-		return n, c.pass()
+		return n, c.waitUnblocked()
 	}
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.pass(); err != nil {
+	if err := c.waitUnblocked(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
@@ -257,7 +259,7 @@
 	return c.Conn.Close()
 }
 
-// abort closes the connection with a reset, as the end of a process with unsent data does.
+// abort closes the connection with a reset, as the operating system does when a process with unsent data ends.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/netfault/netfault_test.go
+++ b/internal/standin/netfault/netfault_test.go
@@ -12,16 +12,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a restart during a crash, which would find the address still taken or lose the new listener.
-func TestCrashAndRestartAtTheSameTime(t *testing.T) {
+// Guards against a restart during a crash that finds the address still in use or loses the new listener.
+func TestConcurrentCrashAndRestart(t *testing.T) {
 	s := New(http.NotFoundHandler(), nil)
 	defer s.Close()
 	assert.NilError(t, s.Listen("127.0.0.1:0"))
 	for range 200 {
-		var both sync.WaitGroup
-		both.Go(s.Crash)
-		both.Go(func() { assert.Check(t, s.Restart()) })
-		both.Wait()
+		var wg sync.WaitGroup
+		wg.Go(s.Crash)
+		wg.Go(func() { assert.Check(t, s.Restart()) })
+		wg.Wait()
 		assert.NilError(t, s.Restart())
 		c, err := net.Dial("tcp", s.Addr())
 		assert.NilError(t, err)
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against a crash that leaves connections open or a listener that still accepts, and a restart elsewhere.
+// Guards against a crash that leaves connections open or a listener accepting, and a restart at another address.
 func TestCrashClosesConnectionsAndListener(t *testing.T) {
 	s := New(http.NotFoundHandler(), nil)
 	defer s.Close()
@@ -38,7 +38,7 @@
 	c, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	defer c.Close()
-	// One answered request shows that the server has accepted the connection.
+	// A response to one request shows that the server has accepted the connection.
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	assert.NilError(t, err)
 	_, err = c.Read(make([]byte, 4096))
--- a/internal/standin/netfault/pipe.go
+++ b/internal/standin/netfault/pipe.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// PipeNetwork connects clients and servers of one process through net.Pipe, so that whole sessions can run in the
+// PipeNetwork connects clients and servers of one process through net.Pipe, so that whole scenarios can run in the
 // virtual time of testing/synctest.
 type PipeNetwork struct {
 	mu        sync.Mutex
@@ -17,7 +17,7 @@
 // NewPipeNetwork returns a network without listeners.
 func NewPipeNetwork() *PipeNetwork { return &PipeNetwork{listeners: map[string]*pipeListener{}} }
 
-// Listen is a ListenFunc. Port 0 is not replaced: the address is only a name.
+// Listen is a ListenFunc. The address is only a name, so port 0 is not replaced by a free port.
 func (n *PipeNetwork) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -29,7 +29,7 @@
 	return l, nil
 }
 
-// Dial connects to a listener of the network; without one the connection is refused.
+// Dial connects to a listener of the network. It returns syscall.ECONNREFUSED if there is none at addr.
 func (n *PipeNetwork) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
--- a/internal/standin/object/object.go
+++ b/internal/standin/object/object.go
@@ -1,4 +1,4 @@
-// Package object is an in-memory stand-in of the object store, with outages and slow periods.
+// Package object is an in-memory stand-in for the object store, with injected outages and latency.
 package object
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// ErrDifferentContent means that the name exists with other content.
+// ErrDifferentContent means that an object of this name exists with other content.
 var ErrDifferentContent = errors.New("object: name exists with other content")
 
-// Faults are the faults in force.
+// Faults are the injected faults.
 type Faults struct {
-	// Refusing answers ErrUnavailable at once.
+	// Refusing makes calls return ErrUnavailable immediately.
 	Refusing bool
-	// Hanging answers only when the context ends.
+	// Hanging makes calls block until their context ends.
 	Hanging bool
-	// Latency is the time of one call.
+	// Latency is the duration of one call.
 	Latency time.Duration
 }
 
@@ -38,14 +38,14 @@
 // New returns an empty store without faults.
 func New() *Store { return &Store{objects: map[string][]byte{}} }
 
-// SetFaults replaces the faults; calls that have begun keep the old ones.
+// SetFaults replaces the faults. Calls that have already started keep the earlier ones.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts returns the numbers of calls so far, refused ones included.
+// Counts returns the numbers of calls so far, including refused ones.
 func (s *Store) Counts() (puts, gets uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// Put implements platform.Objects. It returns ErrDifferentContent when the name exists with other content.
+// Put implements platform.Objects. It returns ErrDifferentContent if the name exists with other content.
 func (s *Store) Put(ctx context.Context, name string, data []byte) error {
 	if err := s.wait(ctx, &s.puts); err != nil {
 		return err
--- a/internal/standin/object/object_test.go
+++ b/internal/standin/object/object_test.go
@@ -11,7 +11,7 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Guards against an immutable object that changes, and against faults without effect.
+// Guards against an immutable object that changes, and against injected faults without effect.
 func TestStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, ctx := New(), t.Context()
@@ -29,11 +29,11 @@
 		_, err = s.Get(short, "a")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		s.SetFaults(Faults{Latency: time.Second})
-		begun := time.Now()
+		start := time.Now()
 		data, err := s.Get(ctx, "a")
 		assert.NilError(t, err)
 		assert.Equal(t, string(data), "1")
-		assert.Equal(t, time.Since(begun), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 		puts, gets := s.Counts()
 		assert.Equal(t, puts, uint64(4))
 		assert.Equal(t, gets, uint64(3))
--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -15,57 +15,57 @@
 type Server struct {
 	// Addr is its address for requests, as IP:port.
 	Addr string
-	// Stop ends it at once, as when the machine is switched off.
+	// Stop ends it without draining, as when the machine is switched off.
 	Stop func()
 }
 
-// LaunchFunc starts the server of an instance. The context ends when the instance stops.
+// LaunchFunc starts the backend server of an instance. The context ends when the instance stops.
 type LaunchFunc func(ctx context.Context, instance platform.Instance) (Server, error)
 
 // CloudOptions configure a Cloud.
 type CloudOptions struct {
-	// Launch starts the server of an instance; nil means that Start is refused.
+	// Launch starts the backend server of an instance; if it is nil, every Start is refused.
 	Launch LaunchFunc
-	// StartDelay is the time until a started instance is live.
+	// StartDelay is the time from the launch of an instance until it is live.
 	StartDelay time.Duration
-	// ListLag is how old the instance list is.
+	// ListLag is the delay of the instance list behind the state of the cloud.
 	ListLag time.Duration
-	// Prices are the prices; a class without a price in a failure domain cannot be started there.
+	// Prices are the prices per instance class and failure domain. A class cannot be started where it has no price.
 	Prices []platform.Price
 }
 
-// Cloud is the cloud API and the instance list.
+// Cloud is a stand-in for the cloud API and the instance list.
 type Cloud struct {
-	o      CloudOptions
-	ctx    context.Context
-	cancel context.CancelFunc
+	options CloudOptions
+	ctx     context.Context
+	cancel  context.CancelFunc
 
 	mu        sync.Mutex
 	instances map[string]*instance
 	byToken   map[string]*instance
 	notices   []platform.Notice
-	// changed is closed and replaced with each notice.
-	changed chan struct{}
-	prices  []platform.Price
-	refused map[refusal]bool
-	lists   []list
-	number  int
+	// changed is closed and replaced when notices are added.
+	changed   chan struct{}
+	prices    []platform.Price
+	refusals  map[refusal]bool
+	snapshots []listSnapshot
+	started   int
 }
 
 type instance struct {
 	platform.Instance
 	stop   func()
 	cancel context.CancelFunc
-	// launched is closed when Start has its answer.
+	// launched is closed when the launch has succeeded or failed.
 	launched chan struct{}
 }
 
-// refusal names the starts that are refused; an empty field matches every value.
+// refusal selects the starts to refuse; an empty field matches every value.
 type refusal struct{ domain, class string }
 
-// list is the instance list from a time on.
-type list struct {
-	from      time.Time
+// listSnapshot is the instance list as it was from takenAt until the next snapshot.
+type listSnapshot struct {
+	takenAt   time.Time
 	instances []platform.Instance
 }
 
@@ -78,19 +78,19 @@
 func NewCloud(o CloudOptions) *Cloud {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Cloud{
-		o:         o,
+		options:   o,
 		ctx:       ctx,
 		cancel:    cancel,
 		instances: map[string]*instance{},
 		byToken:   map[string]*instance{},
 		changed:   make(chan struct{}),
 		prices:    slices.Clone(o.Prices),
-		refused:   map[refusal]bool{},
-		lists:     []list{{from: time.Now()}},
+		refusals:  map[refusal]bool{},
+		snapshots: []listSnapshot{{takenAt: time.Now()}},
 	}
 }
 
-// Add puts an instance that runs already into the list. stop may be nil.
+// Add adds an instance that is already running. stop may be nil.
 func (c *Cloud) Add(i platform.Instance, stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 		i.State = platform.Live
 	}
 	c.instances[i.ID] = &instance{Instance: i, stop: stop, cancel: func() {}}
-	c.record()
+	c.recordSnapshot()
 }
 
 // Start implements platform.Cloud.
@@ -112,9 +112,9 @@
 	c.mu.Lock()
 	if i, ok := c.byToken[req.Token]; ok {
 		c.mu.Unlock()
-		return c.repeated(ctx, i)
+		return c.retriedStart(ctx, i)
 	}
-	i, err := c.reserve(req)
+	i, err := c.addStarting(req)
 	if err != nil {
 		c.mu.Unlock()
 		return platform.Instance{}, err
@@ -125,9 +125,9 @@
 	return c.launch(i, starting)
 }
 
-// repeated answers a start whose token was used before. It waits for the launch, so that the answer has the
-// address.
-func (c *Cloud) repeated(ctx context.Context, i *instance) (platform.Instance, error) {
+// retriedStart returns the instance of an earlier start with the same token. It waits for the launch, so that the
+// instance has its address.
+func (c *Cloud) retriedStart(ctx context.Context, i *instance) (platform.Instance, error) {
 	select {
 	case <-i.launched:
 	case <-ctx.Done():
@@ -141,15 +141,15 @@
 	return i.Instance, nil
 }
 
-// reserve enters a starting instance; the caller holds the lock.
-func (c *Cloud) reserve(req platform.StartRequest) (*instance, error) {
+// addStarting adds an instance in state Starting, or returns ErrStartRefused; the caller holds c.mu.
+func (c *Cloud) addStarting(req platform.StartRequest) (*instance, error) {
 	price, ok := c.price(req)
-	if !ok || c.o.Launch == nil || c.isRefused(req) {
+	if !ok || c.options.Launch == nil || c.isRefused(req) {
 		return nil, platform.ErrStartRefused
 	}
-	c.number++
+	c.started++
 	i := &instance{launched: make(chan struct{}), Instance: platform.Instance{
-		ID:                 fmt.Sprintf("i-%04d", c.number),
+		ID:                 fmt.Sprintf("i-%04d", c.started),
 		Kind:               req.Kind,
 		State:              platform.Starting,
 		Region:             req.Region,
@@ -161,7 +161,7 @@
 	}}
 	c.instances[i.ID] = i
 	c.byToken[req.Token] = i
-	c.record()
+	c.recordSnapshot()
 	return i, nil
 }
 
@@ -175,7 +175,7 @@
 }
 
 func (c *Cloud) isRefused(req platform.StartRequest) bool {
-	for r := range c.refused {
+	for r := range c.refusals {
 		domain := r.domain == "" || r.domain == req.FailureDomain
 		class := r.class == "" || r.class == req.InstanceClass
 		if domain && class {
@@ -185,14 +185,14 @@
 	return false
 }
 
-// launch starts the server. The instance becomes live after the start delay.
+// launch starts the backend server of an instance, which becomes live after StartDelay.
 func (c *Cloud) launch(i *instance, starting platform.Instance) (platform.Instance, error) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	server, err := c.o.Launch(ctx, starting)
+	server, err := c.options.Launch(ctx, starting)
 	c.mu.Lock()
 	if err != nil {
 		delete(c.instances, i.ID)
-		c.record()
+		c.recordSnapshot()
 		c.mu.Unlock()
 		cancel()
 		return platform.Instance{}, fmt.Errorf("%w: %w", platform.ErrStartRefused, err)
@@ -200,24 +200,24 @@
 	i.Addr = server.Addr
 	i.stop = server.Stop
 	i.cancel = cancel
-	_, wanted := c.instances[i.ID]
-	c.record()
+	_, exists := c.instances[i.ID]
+	c.recordSnapshot()
 	out := i.Instance
 	c.mu.Unlock()
-	if !wanted { // it was stopped while it was launched
-		end(i)
+	if !exists { // it was stopped during the launch
+		shutDown(i)
 		return out, nil
 	}
-	time.AfterFunc(c.o.StartDelay, func() { c.live(i.ID) })
+	time.AfterFunc(c.options.StartDelay, func() { c.markLive(i.ID) })
 	return out, nil
 }
 
-func (c *Cloud) live(id string) {
+func (c *Cloud) markLive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if i, ok := c.instances[id]; ok && i.State == platform.Starting {
 		i.State = platform.Live
-		c.record()
+		c.recordSnapshot()
 	}
 }
 
@@ -230,21 +230,21 @@
 	return nil
 }
 
-// Crash ends an instance at once, without notice.
+// Crash ends an instance immediately, without notice.
 func (c *Cloud) Crash(id string) {
 	c.mu.Lock()
 	i, ok := c.instances[id]
 	delete(c.instances, id)
 	if ok {
-		c.record()
+		c.recordSnapshot()
 	}
 	c.mu.Unlock()
 	if ok {
-		end(i)
+		shutDown(i)
 	}
 }
 
-func end(i *instance) {
+func shutDown(i *instance) {
 	if i.stop != nil {
 		i.stop()
 	}
@@ -253,13 +253,13 @@
 	}
 }
 
-// Reclaim gives notice to instances and ends them after the notice period. Instances that are unknown or have
-// notice already are left out. It returns those that got notice.
+// Reclaim gives instances notice and ends them after the notice period. It skips instances that are unknown or already
+// have notice, and returns the ids of the others.
 func (c *Cloud) Reclaim(notice time.Duration, ids ...string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := time.Now().Add(notice)
-	var told []string
+	var notified []string
 	for _, id := range ids {
 		i, ok := c.instances[id]
 		if !ok || i.State == platform.Leaving {
@@ -269,18 +269,19 @@
 		i.Deadline = deadline
 		number := uint64(len(c.notices) + 1)
 		c.notices = append(c.notices, platform.Notice{Number: number, Instance: id, Deadline: deadline})
-		told = append(told, id)
+		notified = append(notified, id)
 		time.AfterFunc(notice, func() { c.Crash(id) })
 	}
-	if len(told) > 0 {
-		c.record()
+	if len(notified) > 0 {
+		c.recordSnapshot()
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
-	return told
+	return notified
 }
 
-// ReclaimDomain gives notice to the instances of a failure domain: all, or only the reclaimable ones.
+// ReclaimDomain reclaims all instances of a failure domain, or only the reclaimable ones. It returns the ids as Reclaim
+// does.
 func (c *Cloud) ReclaimDomain(domain string, notice time.Duration, onlyReclaimable bool) []string {
 	c.mu.Lock()
 	var ids []string
@@ -294,15 +295,15 @@
 	return c.Reclaim(notice, ids...)
 }
 
-// RefuseStarts refuses starts of a class in a failure domain, or allows them again; "" stands for all.
+// RefuseStarts refuses starts of a class in a failure domain, or allows them again; "" matches all.
 func (c *Cloud) RefuseStarts(domain, class string, refuse bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if refuse {
-		c.refused[refusal{domain, class}] = true
+		c.refusals[refusal{domain, class}] = true
 		return
 	}
-	delete(c.refused, refusal{domain, class})
+	delete(c.refusals, refusal{domain, class})
 }
 
 // SetPrices replaces the prices; running instances keep theirs.
@@ -322,7 +323,7 @@
 	return slices.Clone(c.prices), nil
 }
 
-// Notices implements platform.Cloud. It returns no notices and no error when the context ends first.
+// Notices implements platform.Cloud. It returns no notices and no error if the context ends first.
 func (c *Cloud) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
 	for {
 		c.mu.Lock()
@@ -343,8 +344,9 @@
 	}
 }
 
-// record appends the current state to the lagging list; the caller holds the lock.
-func (c *Cloud) record() {
+// recordSnapshot appends the current state to the snapshots and drops those that are too old for Instances; the caller
+// holds c.mu.
+func (c *Cloud) recordSnapshot() {
 	now := time.Now()
 	all := make([]platform.Instance, 0, len(c.instances))
 	for _, i := range c.instances {
@@ -356,24 +358,24 @@
 		}
 		return 1
 	})
-	c.lists = append(c.lists, list{now, all})
-	cut := now.Add(-c.o.ListLag)
-	for len(c.lists) > 1 && !c.lists[1].from.After(cut) {
-		c.lists = c.lists[1:]
+	c.snapshots = append(c.snapshots, listSnapshot{now, all})
+	cut := now.Add(-c.options.ListLag)
+	for len(c.snapshots) > 1 && !c.snapshots[1].takenAt.After(cut) {
+		c.snapshots = c.snapshots[1:]
 	}
 }
 
-// Instances implements platform.InstanceList: the list as it was a lag ago.
+// Instances implements platform.InstanceList. It returns the list as it was ListLag ago.
 func (c *Cloud) Instances(ctx context.Context) ([]platform.Instance, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cut := time.Now().Add(-c.o.ListLag)
-	out := c.lists[0].instances
-	for _, l := range c.lists {
-		if !l.from.After(cut) {
+	cut := time.Now().Add(-c.options.ListLag)
+	out := c.snapshots[0].instances
+	for _, l := range c.snapshots {
+		if !l.takenAt.After(cut) {
 			out = l.instances
 		}
 	}
@@ -390,7 +392,7 @@
 	}
 	c.mu.Unlock()
 	for _, i := range all {
-		end(i)
+		shutDown(i)
 	}
 	c.cancel()
 }
--- a/internal/standin/platform/folder.go
+++ b/internal/standin/platform/folder.go
@@ -14,18 +14,18 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// FolderFaults are the faults of an operators' folder.
+// FolderFaults are the injected faults of an operators' folder.
 type FolderFaults struct {
-	// Down answers ErrUnavailable.
+	// Down makes reads return ErrUnavailable.
 	Down bool
-	// Stale makes reads return the state of that long ago.
+	// Stale is the age of the state that reads return.
 	Stale time.Duration
 }
 
-// keptRevisions bounds the old revisions that stale reads can show.
-const keptRevisions = 64
+// maxRevisions bounds the number of revisions that are retained for stale reads.
+const maxRevisions = 64
 
-// history has the last revisions of a folder.
+// history has the most recent revisions of a folder.
 type history struct {
 	mu     sync.Mutex
 	faults FolderFaults
@@ -40,7 +40,7 @@
 	h.faults = f
 }
 
-// add appends a revision; the caller holds the lock.
+// add appends a revision and returns its number; the caller holds h.mu.
 func (h *history) add(files map[string][]byte) uint64 {
 	revision := uint64(1)
 	if n := len(h.states); n > 0 {
@@ -48,14 +48,14 @@
 	}
 	h.states = append(h.states, platform.FolderState{Revision: revision, Files: files})
 	h.at = append(h.at, time.Now())
-	if len(h.states) > keptRevisions {
+	if len(h.states) > maxRevisions {
 		h.states = h.states[1:]
 		h.at = h.at[1:]
 	}
 	return revision
 }
 
-// read returns the state that a reader sees; the caller holds the lock.
+// read returns the state that a reader sees, subject to the faults; the caller holds h.mu.
 func (h *history) read() (platform.FolderState, error) {
 	if h.faults.Down {
 		return platform.FolderState{}, platform.ErrUnavailable
@@ -115,11 +115,11 @@
 	return f.read()
 }
 
-// dirPollInterval is how often the directory is looked at, at most.
+// dirPollInterval is the minimum time between two polls of the directory.
 const dirPollInterval = 100 * time.Millisecond
 
-// DirFolder is a directory on the local disk. Its revision rises when a read finds a change. Revisions count
-// from 1 in each process, as do the rows of the table stand-in beside it.
+// DirFolder is a directory on the local disk. Its revision increases when a read finds a change. Revisions start at 1
+// in each process, as do the row versions of the table stand-in in the same process.
 type DirFolder struct {
 	history
 	dir    string
@@ -127,7 +127,7 @@
 	polled time.Time
 }
 
-// NewDirFolder reads the directory.
+// NewDirFolder returns a folder with the files of dir as revision 1. It returns an error if dir cannot be read.
 func NewDirFolder(dir string) (*DirFolder, error) {
 	files, err := config.LoadDir(dir)
 	if err != nil {
@@ -154,8 +154,8 @@
 	return f.read()
 }
 
-// poll adds a revision if the directory has changed. It reads the directory twice and waits for the next poll
-// when the reads differ, so that an edit of several files is less often seen in half.
+// poll adds a revision if the directory has changed. It reads the directory twice and leaves the change to the next
+// poll if the reads differ, so that a partial edit of several files is seen less often.
 func (f *DirFolder) poll() error {
 	first, err := config.LoadDir(f.dir)
 	if err != nil {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// filesDigest covers names and contents, each with its length.
+// filesDigest hashes names and contents, each prefixed by its length.
 func filesDigest(files map[string][]byte) [sha256.Size]byte {
 	hash := sha256.New()
 	put := func(data []byte) {
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -14,7 +14,7 @@
 // maxWait bounds a long poll.
 const maxWait = time.Minute
 
-// errInvalid marks requests that break a rule of the service.
+// errInvalid means that a request breaks a rule of the service.
 var errInvalid = errors.New("invalid request")
 
 func (p *Platform) routes() *http.ServeMux {
@@ -34,30 +34,30 @@
 	return mux
 }
 
-// route registers one call. The request's context ends when the client goes away, which the parts treat like
-// any caller that stops waiting.
+// route registers one call. The request's context ends when the client disconnects, which the parts treat like any
+// caller that stops waiting.
 func route[Request, Response any](mux *http.ServeMux, path string, call func(context.Context, Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var request Request
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
 		if err := decoder.Decode(&request); err != nil {
-			answer(w, http.StatusBadRequest, api.Failure{Kind: api.Invalid, Message: err.Error()})
+			writeJSON(w, http.StatusBadRequest, api.Failure{Kind: api.Invalid, Message: err.Error()})
 			return
 		}
 		response, err := call(r.Context(), request)
 		if err != nil {
 			failure := failureOf(err)
-			answer(w, failure.Kind.Status(), failure)
+			writeJSON(w, failure.Kind.Status(), failure)
 			return
 		}
-		answer(w, http.StatusOK, response)
+		writeJSON(w, http.StatusOK, response)
 	})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // an error means that the client has disconnected
 }
 
 func failureOf(err error) api.Failure {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform is a stand-in of the platform: table service, object store, operators' folder, cloud API,
+// Package platform is a stand-in for the platform: table service, object store, operators' folder, cloud API,
 // instance list and weight store, each with fault injection, and one HTTP handler for all of them.
 //
-// Table and objects are those of packages table and object. Time comes from package time only, so the stand-in
-// runs in virtual time when it is used without HTTP.
+// Table and object store are those of packages table and object. The only clock is package time, so the stand-in runs
+// in virtual time if it is used without HTTP.
 package platform
 
 import (
@@ -17,13 +17,13 @@
 
 // Options configure a Platform.
 type Options struct {
-	// Seed of all random choices.
+	// Seed determines all random choices.
 	Seed uint64
 	// Folder is the operators' folder: a *MemFolder or a *DirFolder; nil means an empty MemFolder.
 	Folder FolderSource
-	// Cloud configures cloud API and instance list.
+	// Cloud configures the cloud API and the instance list.
 	Cloud CloudOptions
-	// WeightsMiBPerSecond is the rate of the weight store; 0 means no limit.
+	// WeightsMiBPerSecond is the throughput of the weight store; 0 means no limit.
 	WeightsMiBPerSecond uint32
 }
 
@@ -38,10 +38,10 @@
 	mux *http.ServeMux
 
 	mu     sync.Mutex
-	faults table.Faults // of the store; objects share outage and latency
+	faults table.Faults // of the table; the object store has the same outage and maximum latency
 }
 
-// FolderSource is an operators' folder with faults.
+// FolderSource is an operators' folder with fault injection.
 type FolderSource interface {
 	platform.Folder
 	// SetFaults replaces the faults of the folder.
@@ -67,36 +67,36 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Close stops all servers that the cloud has launched.
+// Close stops all instances of the cloud.
 func (p *Platform) Close() { p.Cloud.Close() }
 
-// StoreOutage takes table and object store down, or up again with table.NoOutage.
+// StoreOutage starts an outage of the table and the object store; table.NoOutage ends it.
 func (p *Platform) StoreOutage(kind table.Outage) {
 	p.changeFaults(func(f *table.Faults) { f.Outage = kind })
 }
 
-// StoreSlow makes each call of table and object store take a time between the bounds.
-func (p *Platform) StoreSlow(least, most time.Duration) {
-	p.changeFaults(func(f *table.Faults) { f.MinLatency, f.MaxLatency = least, most })
+// StoreSlow makes each call of the table take a time between the bounds, and each call of the object store maxLatency.
+func (p *Platform) StoreSlow(minLatency, maxLatency time.Duration) {
+	p.changeFaults(func(f *table.Faults) { f.MinLatency, f.MaxLatency = minLatency, maxLatency })
 }
 
-// LostAnswers makes a share of the table's writes take effect without an answer; hangs makes the caller wait
-// until its own deadline.
+// LostAnswers makes a percentage of the table's writes take effect but return ErrOutcomeUnknown. With hangs they return
+// only when the caller's context ends.
 func (p *Platform) LostAnswers(percent int, hangs bool) {
 	p.changeFaults(func(f *table.Faults) { f.LostPercent, f.LostHangs = percent, hangs })
 }
 
-// LateWrites makes a share of the table's writes answer without an outcome and take effect later.
-func (p *Platform) LateWrites(percent int, most time.Duration) {
-	p.changeFaults(func(f *table.Faults) { f.LatePercent, f.MaxLate = percent, most })
+// LateWrites makes a percentage of the table's writes return ErrOutcomeUnknown and take effect up to maxDelay later.
+func (p *Platform) LateWrites(percent int, maxDelay time.Duration) {
+	p.changeFaults(func(f *table.Faults) { f.LatePercent, f.MaxLate = percent, maxDelay })
 }
 
-// StaleReads makes a share of the table's reads return an older state.
-func (p *Platform) StaleReads(percent int, most time.Duration) {
-	p.changeFaults(func(f *table.Faults) { f.StalePercent, f.MaxStale = percent, most })
+// StaleReads makes a percentage of the table's reads return a state that is up to maxAge old.
+func (p *Platform) StaleReads(percent int, maxAge time.Duration) {
+	p.changeFaults(func(f *table.Faults) { f.StalePercent, f.MaxStale = percent, maxAge })
 }
 
-// HealStore ends all faults of table and object store.
+// HealStore ends all faults of the table and the object store.
 func (p *Platform) HealStore() {
 	p.changeFaults(func(f *table.Faults) { *f = table.Faults{} })
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -36,7 +36,7 @@
 	return NewCloud(o)
 }
 
-// Guards against stand-ins that behave otherwise than the platform's contract says.
+// Guards against stand-ins that violate the contract of the platform interfaces.
 func TestContract(t *testing.T) {
 	t.Run("table", func(t *testing.T) {
 		platformtest.Table(t, func(*testing.T) platform.Table { return table.New(table.Options{Seed: 1}) })
@@ -74,7 +74,7 @@
 	})
 }
 
-// writeFiles replaces the directory's content by renames, as editors do.
+// writeFiles writes each file under a temporary name and renames it, as editors do.
 func writeFiles(t *testing.T, dir string, files map[string][]byte) {
 	for name, data := range files {
 		temporary := filepath.Join(dir, ".new")
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against a reclaim that takes other instances, leaves servers running or comes without its notice period.
+// Guards against a reclaim that affects other instances, leaves servers running or ignores the notice period.
 func TestReclaimDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running atomic.Int64
@@ -96,7 +96,7 @@
 		c.Add(platform.Instance{ID: "far", FailureDomain: "b", Reclaimable: true}, nil)
 		time.Sleep(10 * time.Second)
 		assert.DeepEqual(t, c.ReclaimDomain("a", 5*time.Second, true), []string{"i-0001", "i-0002"})
-		assert.Equal(t, len(c.Reclaim(time.Second, "i-0001")), 0, "an instance got notice twice")
+		assert.Equal(t, len(c.Reclaim(time.Second, "i-0001")), 0, "an instance was given notice twice")
 		assert.DeepEqual(t, states(t, c), []platform.InstanceState{"live", "live", "live", "live"})
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, states(t, c), []platform.InstanceState{"live", "live", "leaving", "leaving"})
@@ -121,7 +121,7 @@
 	return out
 }
 
-// Guards against folder faults that mix revisions or let the revision of a stale read exceed its content.
+// Guards against folder faults that mix revisions, or stale reads that return old files under a newer revision.
 func TestStaleFolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		folder := NewMemFolder(map[string][]byte{"a": []byte("1")})
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Weights is the weight store: loads take turns at a fixed rate.
+// Weights is a stand-in for the weight store. It admits one load of weights at a time, at a fixed rate.
 type Weights struct {
 	mibPerSecond uint32
 
-	mu       sync.Mutex
-	busy     time.Time // the rate is used up until then
-	reserved uint64    // MiB
+	mu        sync.Mutex
+	busyUntil time.Time // when the current load ends
+	reserved  uint64    // MiB
 }
 
 // NewWeights returns a weight store; rate 0 means no limit.
 func NewWeights(mibPerSecond uint32) *Weights { return &Weights{mibPerSecond: mibPerSecond} }
 
-// Reserve implements platform.Weights. A load that must wait is not queued; its caller asks again.
+// Reserve implements platform.Weights. A load that must wait is not queued; its caller retries after the returned time.
 func (w *Weights) Reserve(ctx context.Context, _ string, sizeMiB uint32) (time.Duration, error) {
 	if ctx.Err() != nil {
 		return 0, ctx.Err()
@@ -26,17 +26,17 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.busy.After(now) {
-		return w.busy.Sub(now), nil
+	if w.busyUntil.After(now) {
+		return w.busyUntil.Sub(now), nil
 	}
 	w.reserved += uint64(sizeMiB)
 	if w.mibPerSecond > 0 {
-		w.busy = now.Add(time.Duration(sizeMiB) * time.Second / time.Duration(w.mibPerSecond))
+		w.busyUntil = now.Add(time.Duration(sizeMiB) * time.Second / time.Duration(w.mibPerSecond))
 	}
 	return 0, nil
 }
 
-// ReservedMiB returns the sum of all loads so far.
+// ReservedMiB returns the total size of all admitted loads.
 func (w *Weights) ReservedMiB() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,8 +1,8 @@
-// Package service is a stand-in for a plain service. It counts the runs per Idempotency-Key, so that a test can see
-// whether a call ran more than once, and never suppresses a repeated run itself.
+// Package service is a stand-in for a plain service. It counts the runs per Idempotency-Key, so that a test can detect
+// a call that ran more than once. It never suppresses a repeated run itself.
 //
-//	ANY /...              runs the call: after the delay it answers 200 with the body and key of the request
-//	GET /outcome?key=KEY  answer of the key's first run; 404 when the key never ran
+//	ANY /...              runs the call: after the delay it returns 200 with the body and key of the request
+//	GET /outcome?key=KEY  response of the key's first run; 404 if the key never ran
 //	GET /v1/load          backend.Load
 //
 // Status 503 means that the call was refused and did not run.
@@ -31,48 +31,48 @@
 type Options struct {
 	Name string
 	Seed uint64
-	// Delay is how long a call runs.
+	// Delay is the running time of a call.
 	Delay time.Duration
-	// MaxRunning bounds the calls that run; more are refused. 0 means no limit.
+	// MaxRunning bounds the concurrent calls; more are refused. 0 means no limit.
 	MaxRunning int
-	// DropAfter is the probability that the connection is closed without an answer after a call has run, DropBefore
+	// DropAfter is the probability that the connection is closed without a response after a call has run, DropBefore
 	// that it is closed before the call runs.
 	DropAfter  float64
 	DropBefore float64
-	// Runs is shared by the servers of one service, which then answer for each other's outcomes; nil means a log of
-	// its own.
+	// Runs is shared by the servers of one service, so that each can report the outcomes of all. If it is nil, the
+	// server has a log of its own.
 	Runs *RunLog
 	// Listen opens listeners; nil means TCP.
 	Listen netfault.ListenFunc
 }
 
-// FromSettings returns the options for a service of a stand-in process. The seed also decides the faults.
+// FromSettings returns the options for a service of a stand-in process. The seed also determines the faults.
 func FromSettings(server *pb.StandinServer, seed uint64) Options {
 	return Options{Name: server.GetName(), Seed: seed, MaxRunning: int(server.GetMaxBatch())}
 }
 
 // Run is one run of a call.
 type Run struct {
-	Number uint64 `json:"number"` // order of all runs in the log
+	Number uint64 `json:"number"` // position in the log, from 1
 	Server string `json:"server"`
 	Key    string `json:"key,omitempty"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   []byte `json:"body,omitempty"`
-	// Caller is the User-Agent of the request. A load generator names its attempt there.
+	// Caller is the User-Agent of the request, in which a load generator identifies its attempt.
 	Caller string `json:"caller,omitempty"`
 }
 
-// Echo is the answer to a call.
+// Echo is the response to a call.
 type Echo struct {
 	Server string `json:"server"`
 	Key    string `json:"key,omitempty"`
 	Path   string `json:"path"`
 	Body   string `json:"body,omitempty"`
-	Run    uint64 `json:"run"` // order of all runs in the log
+	Run    uint64 `json:"run"` // position in the log, from 1
 }
 
-// RunLog records runs like the database behind a service: a crash of a server does not lose it.
+// RunLog records the runs of a service. Like the database behind a service it survives a crash of a server.
 type RunLog struct {
 	mu   sync.Mutex
 	runs []Run
@@ -93,14 +93,14 @@
 	return r
 }
 
-// All returns all runs in their order.
+// All returns all runs in order.
 func (l *RunLog) All() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs)
 }
 
-// Count returns how often calls with a key ran.
+// Count returns the number of runs with a key.
 func (l *RunLog) Count(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,8 +121,8 @@
 	return keys
 }
 
-// outcome returns the answer of the key's first run.
-func (l *RunLog) outcome(key string) (Echo, bool) {
+// firstOutcome returns the response of the key's first run, or false if there was none.
+func (l *RunLog) firstOutcome(key string) (Echo, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runs := l.keys[key]
@@ -134,23 +134,23 @@
 
 func echoOf(r Run) Echo { return Echo{r.Server, r.Key, r.Path, string(r.Body), r.Number} }
 
-// Service is one server. It implements http.Handler; Listen serves it on an address of its own, which Crash closes.
+// Service is one server of a service. It implements http.Handler; Listen serves it at its own address until Crash.
 type Service struct {
 	options Options
 	net     *netfault.Server
 	runs    *RunLog
 
-	lifecycle sync.Mutex // held for the whole of Crash and Restart; taken before mu
-
-	mu         sync.Mutex
-	dead       chan struct{} // closed by Crash
-	crashed    bool
-	frozen     chan struct{} // closed by Unfreeze; nil when not frozen
-	random     *rand.Rand
-	dropAfter  float64
-	dropBefore float64
-	running    int
-	started    int64 // Unix milliseconds
+	lifecycle sync.Mutex // held during Crash and Restart; acquired before mu
+
+	mu          sync.Mutex
+	crashSignal chan struct{} // closed by Crash
+	crashed     bool
+	frozen      chan struct{} // closed by Unfreeze; nil when not frozen
+	random      *rand.Rand
+	dropAfter   float64
+	dropBefore  float64
+	running     int
+	started     int64 // Unix milliseconds
 }
 
 // New returns a service.
@@ -161,13 +161,13 @@
 	name := fnv.New64a()
 	_, _ = name.Write([]byte(o.Name))
 	s := &Service{
-		options:    o,
-		runs:       o.Runs,
-		dead:       make(chan struct{}),
-		random:     rand.New(rand.NewPCG(o.Seed, name.Sum64())),
-		dropAfter:  o.DropAfter,
-		dropBefore: o.DropBefore,
-		started:    time.Now().UnixMilli(),
+		options:     o,
+		runs:        o.Runs,
+		crashSignal: make(chan struct{}),
+		random:      rand.New(rand.NewPCG(o.Seed, name.Sum64())),
+		dropAfter:   o.DropAfter,
+		dropBefore:  o.DropBefore,
+		started:     time.Now().UnixMilli(),
 	}
 	s.net = netfault.New(s, o.Listen)
 	return s
@@ -176,16 +176,16 @@
 // Listen serves the service at addr, an IP:port.
 func (s *Service) Listen(addr string) error { return s.net.Listen(addr) }
 
-// Net returns the server of Listen, for faults of its connections.
+// Net returns the server behind Listen, for injecting connection faults.
 func (s *Service) Net() *netfault.Server { return s.net }
 
-// Addr returns the address of Listen.
+// Addr returns the address at which the service listens, or "" before Listen.
 func (s *Service) Addr() string { return s.net.Addr() }
 
-// Runs returns the record of runs.
+// Runs returns the log of runs.
 func (s *Service) Runs() *RunLog { return s.runs }
 
-// Close ends the service and its connections.
+// Close stops the service and closes its connections.
 func (s *Service) Close() {
 	s.Crash()
 	s.net.Close()
@@ -193,13 +193,13 @@
 
 // ServeHTTP implements http.Handler. While the service is crashed it aborts the connection.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	dead := s.incarnation()
-	if dead == nil || !s.waitUnfrozen(r.Context(), dead) {
+	crashSignal := s.currentCrashSignal()
+	if crashSignal == nil || !s.waitUnfrozen(r.Context(), crashSignal) {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /outcome":
-		outcome, ok := s.runs.outcome(r.URL.Query().Get("key"))
+		outcome, ok := s.runs.firstOutcome(r.URL.Query().Get("key"))
 		if !ok {
 			http.Error(w, "the key never ran", http.StatusNotFound)
 			return
@@ -208,26 +208,26 @@
 	case "GET /v1/load":
 		writeJSON(w, s.load())
 	default:
-		s.serveCall(w, r, dead)
+		s.serveCall(w, r, crashSignal)
 	}
 }
 
-func (s *Service) serveCall(w http.ResponseWriter, r *http.Request, dead <-chan struct{}) {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request, crashSignal <-chan struct{}) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	before, after, ok := s.begin()
+	dropBefore, dropAfter, ok := s.admit()
 	if !ok {
 		http.Error(w, "too many calls", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.end()
-	if before || !s.alive(dead) {
+	defer s.release()
+	if dropBefore || !s.alive(crashSignal) {
 		panic(http.ErrAbortHandler)
 	}
-	// The run counts from here on, whatever becomes of the connection.
+	// From here on the run counts, even if the connection fails.
 	run := s.runs.add(Run{
 		Server: s.options.Name,
 		Key:    r.Header.Get("Idempotency-Key"),
@@ -241,30 +241,30 @@
 		defer delay.Stop()
 		select {
 		case <-delay.C:
-		case <-dead:
+		case <-crashSignal:
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if after || !s.waitUnfrozen(r.Context(), dead) {
+	if dropAfter || !s.waitUnfrozen(r.Context(), crashSignal) {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, echoOf(run))
 }
 
-// begin admits a call and decides its faults.
-func (s *Service) begin() (before, after, ok bool) {
+// admit admits a call and chooses its faults. ok is false if too many calls are running.
+func (s *Service) admit() (dropBefore, dropAfter, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.options.MaxRunning > 0 && s.running >= s.options.MaxRunning {
 		return false, false, false
 	}
 	s.running++
-	before = s.dropBefore > 0 && s.random.Float64() < s.dropBefore
-	after = s.dropAfter > 0 && s.random.Float64() < s.dropAfter
-	return before, after, true
+	dropBefore = s.dropBefore > 0 && s.random.Float64() < s.dropBefore
+	dropAfter = s.dropAfter > 0 && s.random.Float64() < s.dropAfter
+	return dropBefore, dropAfter, true
 }
 
-func (s *Service) end() {
+func (s *Service) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -287,12 +287,12 @@
 	}
 	s.crashed = true
 	s.unfreeze()
-	close(s.dead)
+	close(s.crashSignal)
 	s.mu.Unlock()
 	s.net.Crash()
 }
 
-// Restart starts a crashed service again. It returns an error when the address is taken.
+// Restart restarts a crashed service. It returns an error if the address is in use.
 func (s *Service) Restart() error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -302,13 +302,13 @@
 		return nil
 	}
 	s.crashed = false
-	s.dead = make(chan struct{})
+	s.crashSignal = make(chan struct{})
 	s.started = max(time.Now().UnixMilli(), s.started+1)
 	s.mu.Unlock()
 	return s.net.Restart()
 }
 
-// Freeze stops all progress: connections stay open and nothing moves until Unfreeze or Crash.
+// Freeze stops all progress: connections stay open, but no data is sent or received until Unfreeze or Crash.
 func (s *Service) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,34 +334,34 @@
 }
 
 // SetDrops sets the probabilities of Options.DropBefore and Options.DropAfter.
-func (s *Service) SetDrops(before, after float64) {
+func (s *Service) SetDrops(dropBefore, dropAfter float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropBefore = before
-	s.dropAfter = after
+	s.dropBefore = dropBefore
+	s.dropAfter = dropAfter
 }
 
-// incarnation returns a channel that closes with the next crash, or nil while the service is crashed.
-func (s *Service) incarnation() <-chan struct{} {
+// currentCrashSignal returns a channel that is closed by the next crash, or nil while the service is crashed.
+func (s *Service) currentCrashSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.crashed {
 		return nil
 	}
-	return s.dead
+	return s.crashSignal
 }
 
-func (s *Service) alive(dead <-chan struct{}) bool {
+func (s *Service) alive(crashSignal <-chan struct{}) bool {
 	select {
-	case <-dead:
+	case <-crashSignal:
 		return false
 	default:
 		return true
 	}
 }
 
-// waitUnfrozen blocks while the service is frozen. It returns false when ctx or the incarnation ends.
-func (s *Service) waitUnfrozen(ctx context.Context, dead <-chan struct{}) bool {
+// waitUnfrozen blocks while the service is frozen. It returns false if ctx ends or the service crashes.
+func (s *Service) waitUnfrozen(ctx context.Context, crashSignal <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
 		frozen := s.frozen
@@ -373,7 +373,7 @@
 		case <-frozen:
 		case <-ctx.Done():
 			return false
-		case <-dead:
+		case <-crashSignal:
 			return false
 		}
 	}
@@ -381,7 +381,7 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone when this fails
+	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
 
 var _ http.Handler = (*Service)(nil)
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -1,9 +1,9 @@
-// Package table is an in-memory stand-in of the transactional table service, with fault injection by seed.
+// Package table is an in-memory stand-in for the transactional table service, with fault injection from a seed.
 //
-// Time comes from package time only, so that the stand-in runs in virtual time inside testing/synctest. Each
-// random choice is a hash of the seed, the client, the key and the number of earlier calls of this client on
-// this key. A choice therefore does not depend on how goroutines of other keys are scheduled, and a failing
-// schedule replays from its seed.
+// The only clock is package time, so that the stand-in runs in virtual time inside testing/synctest. Each random choice
+// is a hash of the seed, the client, the operation, the key and the number of this client's calls of the operation on
+// this key. A choice therefore does not depend on how goroutines that use other keys are scheduled, and a failing
+// schedule can be replayed from its seed.
 package table
 
 import (
@@ -22,35 +22,35 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// historyKept is how long old row versions are kept for stale reads.
-const historyKept = time.Minute
+// historyRetention is the time for which old row versions are retained for stale reads.
+const historyRetention = time.Minute
 
-// Outage says how calls fail while the service is down.
+// Outage is the way in which calls fail during an outage of the service.
 type Outage int
 
 // Kinds of outages.
 const (
 	NoOutage Outage = iota
-	// Refusing answers ErrUnavailable at once.
+	// Refusing makes calls return ErrUnavailable immediately.
 	Refusing
-	// Hanging answers only when the context ends; no write takes effect.
+	// Hanging makes calls block until their context ends; no write takes effect.
 	Hanging
 )
 
-// Faults are the faults in force. Percentages count calls that no other fault has hit.
+// Faults are the injected faults. Percentages are of the calls that no other fault affects.
 type Faults struct {
 	Outage Outage
-	// MinLatency and MaxLatency bound the time of one call. The effect of a write comes halfway.
+	// MinLatency and MaxLatency bound the duration of one call. A write takes effect after half of it.
 	MinLatency, MaxLatency time.Duration
-	// LostPercent of writes take effect, but the caller gets ErrOutcomeUnknown.
+	// LostPercent of writes take effect but return ErrOutcomeUnknown.
 	LostPercent int
-	// LostHangs makes a lost answer end with the caller's context instead of at once.
+	// LostHangs makes these writes return when the caller's context ends instead of immediately.
 	LostHangs bool
-	// LatePercent of writes answer ErrOutcomeUnknown and take effect up to MaxLate later, if their conditions
-	// hold then.
+	// LatePercent of writes return ErrOutcomeUnknown and take effect up to MaxLate later, if their conditions hold
+	// then.
 	LatePercent int
 	MaxLate     time.Duration
-	// StalePercent of reads return the state of up to MaxStale ago (at most a minute).
+	// StalePercent of reads return the state of up to MaxStale ago (at most historyRetention).
 	StalePercent int
 	MaxStale     time.Duration
 }
@@ -60,11 +60,11 @@
 	Seed uint64
 }
 
-// Counts are numbers of calls since New. Refused calls count, too.
+// Counts are the numbers of calls since New, including refused ones.
 type Counts struct {
 	Reads   uint64 // Get and List
 	Commits uint64
-	// RowWrites counts rows written or deleted.
+	// RowWrites is the number of rows written or deleted.
 	RowWrites uint64
 }
 
@@ -84,15 +84,15 @@
 	commits atomic.Uint64
 	writes  atomic.Uint64
 
-	mu   sync.Mutex
-	next uint64
-	rows map[rowID][]version // ascending by time; the last one is current
+	mu          sync.Mutex
+	lastVersion uint64
+	histories   map[rowID][]version // in order of time; the last one is current
 }
 
-// Client is the table as one caller sees it.
+// Client is the view of the table that one caller has, with faults of its own.
 type Client struct {
-	t    *Table
-	name string
+	table *Table
+	name  string
 
 	mu     sync.Mutex
 	faults Faults
@@ -106,14 +106,14 @@
 
 // New returns an empty table without faults.
 func New(o Options) *Table {
-	t := &Table{seed: o.Seed, rows: map[rowID][]version{}}
+	t := &Table{seed: o.Seed, histories: map[rowID][]version{}}
 	t.Client = t.NewClient("")
 	return t
 }
 
-// NewClient returns a view with its own faults and random choices.
+// NewClient returns a client with its own faults and random choices, which depend on name.
 func (t *Table) NewClient(name string) *Client {
-	return &Client{t: t, name: name, calls: map[string]uint64{}}
+	return &Client{table: t, name: name, calls: map[string]uint64{}}
 }
 
 // Counts returns the numbers of calls so far.
@@ -121,45 +121,45 @@
 	return Counts{Reads: t.reads.Load(), Commits: t.commits.Load(), RowWrites: t.writes.Load()}
 }
 
-// SetFaults replaces the faults of this client; calls that have begun keep the old ones.
+// SetFaults replaces the faults of this client. Calls that have already started keep the earlier ones.
 func (c *Client) SetFaults(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
-// draw is the sequence of random numbers of one call.
-type draw struct {
+// randomSequence generates the random numbers of one call.
+type randomSequence struct {
 	prefix string
 	n      int
 }
 
-func (d *draw) next() uint64 {
-	d.n++
-	return xxhash.Sum64String(fmt.Sprintf("%s/%d", d.prefix, d.n))
+func (rng *randomSequence) next() uint64 {
+	rng.n++
+	return xxhash.Sum64String(fmt.Sprintf("%s/%d", rng.prefix, rng.n))
 }
 
-func (d *draw) percent(p int) bool { return d.next()%100 < uint64(max(p, 0)) }
+func (rng *randomSequence) percent(p int) bool { return rng.next()%100 < uint64(max(p, 0)) }
 
-func (d *draw) between(low, high time.Duration) time.Duration {
+func (rng *randomSequence) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
 	}
-	return low + time.Duration(d.next()%uint64(high-low+1))
+	return low + time.Duration(rng.next()%uint64(high-low+1))
 }
 
-func (c *Client) begin(op, key string) (Faults, *draw) {
+func (c *Client) startCall(op, key string) (Faults, *randomSequence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := op + "/" + key
 	c.calls[id]++
-	return c.faults, &draw{prefix: fmt.Sprintf("%d/%s/%s/%d", c.t.seed, c.name, id, c.calls[id])}
+	return c.faults, &randomSequence{prefix: fmt.Sprintf("%d/%s/%s/%d", c.table.seed, c.name, id, c.calls[id])}
 }
 
-// read applies the faults of a read and returns the time whose state it shows.
+// read applies the faults of a read and returns the time as of which it reads the state.
 func (c *Client) read(ctx context.Context, op, key string) (time.Time, error) {
-	c.t.reads.Add(1)
-	f, d := c.begin(op, key)
+	c.table.reads.Add(1)
+	f, rng := c.startCall(op, key)
 	switch f.Outage {
 	case Refusing:
 		return time.Time{}, platform.ErrUnavailable
@@ -167,12 +167,12 @@
 		<-ctx.Done()
 		return time.Time{}, fmt.Errorf("table: read: %w", ctx.Err())
 	}
-	if !clock.Sleep(ctx, d.between(f.MinLatency, f.MaxLatency)) {
+	if !clock.Sleep(ctx, rng.between(f.MinLatency, f.MaxLatency)) {
 		return time.Time{}, fmt.Errorf("table: read: %w", ctx.Err())
 	}
 	at := time.Now()
-	if d.percent(f.StalePercent) {
-		at = at.Add(-d.between(0, min(f.MaxStale, historyKept)))
+	if rng.percent(f.StalePercent) {
+		at = at.Add(-rng.between(0, min(f.MaxStale, historyRetention)))
 	}
 	return at, nil
 }
@@ -183,9 +183,9 @@
 	if err != nil {
 		return platform.Row{}, err
 	}
-	c.t.mu.Lock()
-	defer c.t.mu.Unlock()
-	v := asOf(c.t.rows[rowID{table, key}], at)
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	v := asOf(c.table.histories[rowID{table, key}], at)
 	if !v.exists {
 		return platform.Row{}, platform.ErrNotFound
 	}
@@ -198,10 +198,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.t.mu.Lock()
-	defer c.t.mu.Unlock()
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
 	var out []platform.Row
-	for id, history := range c.t.rows {
+	for id, history := range c.table.histories {
 		if id.table != table || !strings.HasPrefix(id.key, prefix) || id.key <= after {
 			continue
 		}
@@ -218,12 +218,12 @@
 	if err := checkDistinct(mutations); err != nil {
 		return nil, err
 	}
-	c.t.commits.Add(1)
+	c.table.commits.Add(1)
 	key := ""
 	if len(mutations) > 0 {
 		key = mutations[0].Table + "/" + mutations[0].Key
 	}
-	f, d := c.begin("commit", key)
+	f, rng := c.startCall("commit", key)
 	switch f.Outage {
 	case Refusing:
 		return nil, platform.ErrUnavailable
@@ -231,32 +231,32 @@
 		<-ctx.Done()
 		return nil, platform.ErrOutcomeUnknown
 	}
-	return c.commit(ctx, f, d, copyMutations(mutations))
+	return c.commit(ctx, f, rng, copyMutations(mutations))
 }
 
-func (c *Client) commit(ctx context.Context, f Faults, d *draw, mutations []platform.Mutation) ([]uint64, error) {
-	half := d.between(f.MinLatency, f.MaxLatency) / 2
+func (c *Client) commit(ctx context.Context, f Faults, rng *randomSequence, mutations []platform.Mutation) ([]uint64, error) {
+	halfLatency := rng.between(f.MinLatency, f.MaxLatency) / 2
 	started := time.Now()
-	arrives := d.percent(50)
-	if !clock.Sleep(ctx, half) {
-		// The request was on its way when the caller stopped waiting; half of these still take effect.
-		if arrives {
-			time.AfterFunc(half-time.Since(started), func() { _, _ = c.t.apply(mutations) })
+	takesEffect := rng.percent(50)
+	if !clock.Sleep(ctx, halfLatency) {
+		// The request was in transit when the caller stopped waiting; half of such writes still take effect.
+		if takesEffect {
+			time.AfterFunc(halfLatency-time.Since(started), func() { _, _ = c.table.apply(mutations) })
 		}
 		return nil, platform.ErrOutcomeUnknown
 	}
-	if d.percent(f.LatePercent) {
-		time.AfterFunc(d.between(1, f.MaxLate), func() { _, _ = c.t.apply(mutations) })
+	if rng.percent(f.LatePercent) {
+		time.AfterFunc(rng.between(1, f.MaxLate), func() { _, _ = c.table.apply(mutations) })
 		return nil, platform.ErrOutcomeUnknown
 	}
-	versions, err := c.t.apply(mutations)
-	if d.percent(f.LostPercent) {
+	versions, err := c.table.apply(mutations)
+	if rng.percent(f.LostPercent) {
 		if f.LostHangs {
 			<-ctx.Done()
 		}
 		return nil, platform.ErrOutcomeUnknown
 	}
-	if !clock.Sleep(ctx, half) {
+	if !clock.Sleep(ctx, halfLatency) {
 		return nil, platform.ErrOutcomeUnknown
 	}
 	return versions, err
@@ -269,7 +269,7 @@
 	now := time.Now()
 	var failed []int
 	for i, m := range mutations {
-		if !holds(m.If, current(t.rows[rowID{m.Table, m.Key}])) {
+		if !conditionHolds(m.If, current(t.histories[rowID{m.Table, m.Key}])) {
 			failed = append(failed, i)
 		}
 	}
@@ -285,30 +285,31 @@
 
 func (t *Table) applyOne(now time.Time, m platform.Mutation) uint64 {
 	id := rowID{m.Table, m.Key}
-	history := t.rows[id]
+	history := t.histories[id]
 	if m.CheckOnly {
 		return current(history).row.Version
 	}
 	t.writes.Add(1)
-	t.next++
+	t.lastVersion++
 	v := version{at: now, exists: !m.Delete}
 	if v.exists {
-		v.row = platform.Row{Key: m.Key, Value: m.Value, Version: t.next}
+		v.row = platform.Row{Key: m.Key, Value: m.Value, Version: t.lastVersion}
 	}
-	t.rows[id] = append(prune(history, now), v)
+	t.histories[id] = append(prune(history, now), v)
 	return v.row.Version
 }
 
-// prune drops versions that no stale read can show any more. One older version stays as the state at the cut.
+// prune drops versions that no stale read can return any more. One older version stays as the state at the start of the
+// retention period.
 func prune(history []version, now time.Time) []version {
-	cut := now.Add(-historyKept)
+	cut := now.Add(-historyRetention)
 	for len(history) > 1 && history[1].at.Before(cut) {
 		history = history[1:]
 	}
 	return history
 }
 
-func holds(cond platform.Condition, v version) bool {
+func conditionHolds(cond platform.Condition, v version) bool {
 	switch cond.Kind {
 	case platform.Always:
 		return true
--- a/internal/standin/table/table_test.go
+++ b/internal/standin/table/table_test.go
@@ -34,14 +34,14 @@
 	assert.NilError(t, err)
 	again, err := tab.Commit(ctx, put("a", "3", absent))
 	assert.NilError(t, err)
-	assert.Assert(t, again[0] > versions[0], "a version was used again after a delete")
+	assert.Assert(t, again[0] > versions[0], "a version was reused after a delete")
 	rows, err := tab.List(ctx, "t", "", "", 10)
 	assert.NilError(t, err)
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, tab.Counts(), Counts{Reads: 2, Commits: 4, RowWrites: 3})
 }
 
-// Guards against faults that do not show the effect they are named for.
+// Guards against injected faults that do not have the effect that their names say.
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab, ctx := New(Options{Seed: 1}), t.Context()
@@ -85,9 +85,9 @@
 		assert.Equal(t, string(row.Value), "2", "the read is not stale")
 
 		tab.SetFaults(Faults{MinLatency: time.Second, MaxLatency: time.Second})
-		begun := time.Now()
+		start := time.Now()
 		_, err = tab.Commit(ctx, put("a", "4", platform.Condition{}))
 		assert.NilError(t, err)
-		assert.Equal(t, time.Since(begun), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 	})
 }
