--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -75,16 +75,16 @@
 )
 
 // NewCloud returns a cloud without instances.
-func NewCloud(o CloudOptions) *Cloud {
+func NewCloud(options CloudOptions) *Cloud {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Cloud{
-		options:   o,
+		options:   options,
 		ctx:       ctx,
 		cancel:    cancel,
 		instances: map[string]*instance{},
 		byToken:   map[string]*instance{},
 		changed:   make(chan struct{}),
-		prices:    slices.Clone(o.Prices),
+		prices:    slices.Clone(options.Prices),
 		refusals:  map[refusal]bool{},
 		snapshots: []listSnapshot{{takenAt: time.Now()}},
 	}
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -91,8 +91,8 @@
 
 // Client is the view of the table that one caller has, with faults of its own.
 type Client struct {
-	table *Table
-	name  string
+	t    *Table
+	name string
 
 	mu     sync.Mutex
 	faults Faults
@@ -113,7 +113,7 @@
 
 // NewClient returns a client with its own faults and random choices, which depend on name.
 func (t *Table) NewClient(name string) *Client {
-	return &Client{table: t, name: name, calls: map[string]uint64{}}
+	return &Client{t: t, name: name, calls: map[string]uint64{}}
 }
 
 // Counts returns the numbers of calls so far.
@@ -153,12 +153,12 @@
 	defer c.mu.Unlock()
 	id := op + "/" + key
 	c.calls[id]++
-	return c.faults, &randomSequence{prefix: fmt.Sprintf("%d/%s/%s/%d", c.table.seed, c.name, id, c.calls[id])}
+	return c.faults, &randomSequence{prefix: fmt.Sprintf("%d/%s/%s/%d", c.t.seed, c.name, id, c.calls[id])}
 }
 
 // read applies the faults of a read and returns the time as of which it reads the state.
 func (c *Client) read(ctx context.Context, op, key string) (time.Time, error) {
-	c.table.reads.Add(1)
+	c.t.reads.Add(1)
 	f, rng := c.startCall(op, key)
 	switch f.Outage {
 	case Refusing:
@@ -183,9 +183,9 @@
 	if err != nil {
 		return platform.Row{}, err
 	}
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	v := asOf(c.table.histories[rowID{table, key}], at)
+	c.t.mu.Lock()
+	defer c.t.mu.Unlock()
+	v := asOf(c.t.histories[rowID{table, key}], at)
 	if !v.exists {
 		return platform.Row{}, platform.ErrNotFound
 	}
@@ -198,10 +198,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
+	c.t.mu.Lock()
+	defer c.t.mu.Unlock()
 	var out []platform.Row
-	for id, history := range c.table.histories {
+	for id, history := range c.t.histories {
 		if id.table != table || !strings.HasPrefix(id.key, prefix) || id.key <= after {
 			continue
 		}
@@ -218,7 +218,7 @@
 	if err := checkDistinct(mutations); err != nil {
 		return nil, err
 	}
-	c.table.commits.Add(1)
+	c.t.commits.Add(1)
 	key := ""
 	if len(mutations) > 0 {
 		key = mutations[0].Table + "/" + mutations[0].Key
@@ -241,15 +241,15 @@
 	if !clock.Sleep(ctx, halfLatency) {
 		// The request was in transit when the caller stopped waiting; half of such writes still take effect.
 		if takesEffect {
-			time.AfterFunc(halfLatency-time.Since(started), func() { _, _ = c.table.apply(mutations) })
+			time.AfterFunc(halfLatency-time.Since(started), func() { _, _ = c.t.apply(mutations) })
 		}
 		return nil, platform.ErrOutcomeUnknown
 	}
 	if rng.percent(f.LatePercent) {
-		time.AfterFunc(rng.between(1, f.MaxLate), func() { _, _ = c.table.apply(mutations) })
+		time.AfterFunc(rng.between(1, f.MaxLate), func() { _, _ = c.t.apply(mutations) })
 		return nil, platform.ErrOutcomeUnknown
 	}
-	versions, err := c.table.apply(mutations)
+	versions, err := c.t.apply(mutations)
 	if rng.percent(f.LostPercent) {
 		if f.LostHangs {
 			<-ctx.Done()
