--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak has a randomized test of real processes. It starts nodes as separate processes, injects faults from the
-// outside by signals, by proxies on their connections and by the stand-ins behind them, and checks the promises from what
-// callers and backend servers see. See soak_test.go for its flags.
+// Package soak has a randomized test with real processes. It starts nodes as separate processes, injects faults by
+// signals, by proxies on their connections and by the stand-ins behind them, and checks the guarantees against what
+// callers and backend servers observe. See soak_test.go for its flags.
 package soak
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,29 +11,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// proxy passes TCP connections on and can delay, reset, silence or cut them one way.
+// proxy forwards TCP connections and can delay, reset or stall them, drop all responses and refuse new connections.
 type proxy struct {
-	listener net.Listener
-	target   string
-	delay    atomic.Int64 // added to each piece, in nanoseconds
-	oneWay   atomic.Bool  // answers do not come through
-	refuse   atomic.Bool  // new connections are reset
+	listener      net.Listener
+	target        string
+	delay         atomic.Int64 // added to each read, in nanoseconds
+	dropResponses atomic.Bool  // data from the server is discarded
+	refuse        atomic.Bool  // new connections are reset
 
 	mu    sync.Mutex
-	conns map[*link]bool
+	links map[*link]bool
 }
 
-// link is one connection with its two ends.
+// link is one forwarded connection.
 type link struct {
-	near, far net.Conn
-	silent    atomic.Bool
+	client, server net.Conn
+	stalled        atomic.Bool
 }
 
 func newProxy(t *testing.T, target string) *proxy {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p := &proxy{listener: listener, target: target, conns: map[*link]bool{}}
-	go p.run()
+	p := &proxy{listener: listener, target: target, links: map[*link]bool{}}
+	go p.accept()
 	t.Cleanup(func() {
 		_ = listener.Close()
 		p.reset()
@@ -43,77 +43,77 @@
 
 func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-func (p *proxy) run() {
+func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		if p.refuse.Load() {
-			_ = near.(*net.TCPConn).SetLinger(0)
-			_ = near.Close()
+			_ = client.(*net.TCPConn).SetLinger(0)
+			_ = client.Close()
 			continue
 		}
-		far, err := net.DialTimeout("tcp4", p.target, time.Second)
+		server, err := net.DialTimeout("tcp4", p.target, time.Second)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		l := &link{near: near, far: far}
+		l := &link{client: client, server: server}
 		p.mu.Lock()
-		p.conns[l] = true
+		p.links[l] = true
 		p.mu.Unlock()
-		go p.pipe(l, near, far, false)
-		go p.pipe(l, far, near, true)
+		go p.forward(l, client, server, false)
+		go p.forward(l, server, client, true)
 	}
 }
 
-func (p *proxy) pipe(l *link, from, to net.Conn, answers bool) {
+func (p *proxy) forward(l *link, from, to net.Conn, fromServer bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if d := p.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if n > 0 && !l.silent.Load() && !(answers && p.oneWay.Load()) {
+		if n > 0 && !l.stalled.Load() && !(fromServer && p.dropResponses.Load()) {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				err = werr
 			}
 		}
 		if err != nil {
-			if err == io.EOF && l.silent.Load() {
-				return // a silent connection does not tell its other end
+			if err == io.EOF && l.stalled.Load() {
+				return // a stalled connection does not report the close to its other end
 			}
-			_ = l.near.Close()
-			_ = l.far.Close()
+			_ = l.client.Close()
+			_ = l.server.Close()
 			p.mu.Lock()
-			delete(p.conns, l)
+			delete(p.links, l)
 			p.mu.Unlock()
 			return
 		}
 	}
 }
 
-func (p *proxy) each(do func(*link)) {
+func (p *proxy) forEachLink(do func(*link)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
+	for l := range p.links {
 		do(l)
 	}
 }
 
 func (p *proxy) reset() {
-	p.each(func(l *link) {
-		_ = l.near.(*net.TCPConn).SetLinger(0)
-		_ = l.near.Close()
-		_ = l.far.Close()
+	p.forEachLink(func(l *link) {
+		_ = l.client.(*net.TCPConn).SetLinger(0)
+		_ = l.client.Close()
+		_ = l.server.Close()
 	})
 }
 
-func (p *proxy) silence() { p.each(func(l *link) { l.silent.Store(true) }) }
+func (p *proxy) stall() { p.forEachLink(func(l *link) { l.stalled.Store(true) }) }
 
-func (p *proxy) heal() {
+func (p *proxy) clearFaults() {
 	p.delay.Store(0)
-	p.oneWay.Store(false)
+	p.dropResponses.Store(false)
 	p.refuse.Store(false)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,22 +23,22 @@
 )
 
 var (
-	seedFlag  = flag.Uint64("soak.seed", 0, "play this seed only")
-	seedsFlag = flag.Int("soak.seeds", 2, "number of seeds to play, from soak.first on")
+	seedFlag  = flag.Uint64("soak.seed", 0, "run this seed only")
+	seedsFlag = flag.Int("soak.seeds", 2, "number of seeds to run, starting with soak.first")
 	firstFlag = flag.Uint64("soak.first", 1, "first seed")
-	timeFlag  = flag.Duration("soak.time", 6*time.Second, "time with faults of each seed")
-	portFlag  = flag.Int("soak.port", 12000, "first port of the nodes; soaks that run side by side need different ones")
-	nodesFlag = flag.Int("soak.nodes", 3, "nodes, each a process")
+	timeFlag  = flag.Duration("soak.time", 6*time.Second, "duration of the fault injection of each seed")
+	portFlag  = flag.Int("soak.port", 12000, "first port of the nodes; concurrent soaks need different ones")
+	nodesFlag = flag.Int("soak.nodes", 3, "number of nodes, each a process")
 )
 
-// regressions are seeds that once failed, with their cause.
+// regressions are seeds that failed in the past, with the cause.
 var regressions = map[uint64]string{}
 
-// TestSoak plays seeds; go test ./internal/soak -soak.seeds 50 -soak.first 100 plays fresh ones by hand.
+// TestSoak runs seeds. To run others: go test ./internal/soak -soak.seeds 50 -soak.first 100
 func TestSoak(t *testing.T) {
 	seeds := map[uint64]string{}
 	if *seedFlag != 0 {
-		seeds[*seedFlag] = "by hand"
+		seeds[*seedFlag] = "from -soak.seed"
 	} else {
 		maps.Copy(seeds, regressions)
 		for i := range *seedsFlag {
@@ -46,44 +46,44 @@
 		}
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runSeed(t, seed) })
 	}
 }
 
-func play(t *testing.T, seed uint64) {
+func runSeed(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := newWorld(t, *nodesFlag, 3)
-	c := &callers{w: w, notRun: map[string]string{}, client: &http.Client{Timeout: 8 * time.Second,
+	env := newTestEnv(t, *nodesFlag, 3)
+	c := &callers{env: env, notRun: map[string]string{}, client: &http.Client{Timeout: 8 * time.Second,
 		Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 8}}}
 	c.awaitServing(t, 10*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var running sync.WaitGroup
 	for i := range 8 {
-		running.Go(func() { c.loop(ctx, rand.New(rand.NewPCG(seed, uint64(i+2)))) })
+		running.Go(func() { c.sendUntilDone(ctx, rand.New(rand.NewPCG(seed, uint64(i+2)))) })
 	}
-	f := &faults{w: w, rng: rng}
+	f := &faultInjector{env: env, rng: rng}
 	f.run(*timeFlag)
-	f.heal()
-	w.withRoute = true
-	w.configure()
+	f.clearFaults()
+	env.withFinalRoute = true
+	env.configure()
 	c.awaitServing(t, 12*time.Second)
-	c.awaitRoute(t, 5*time.Second)
+	c.awaitFinalRoute(t, 5*time.Second)
 	cancel()
 	running.Wait()
-	t.Logf("seed %d: %d requests, %d served, %d refused as not run, %d broken, faults %v", seed, c.sent.Load(), c.served.Load(), len(c.notRun), c.broken.Load(), f.counts)
-	c.check(t)
+	t.Logf("seed %d: %d requests, %d served, %d refused as not run, %d connection errors, faults %v", seed, c.sent.Load(), c.served.Load(), len(c.notRun), c.connErrors.Load(), f.counts)
+	c.checkGuarantees(t)
 }
 
-// faults injects faults that overlap.
-type faults struct {
-	w      *world
-	rng    *rand.Rand
-	counts map[string]int
-	wait   sync.WaitGroup
+// faultInjector injects random faults, which can overlap.
+type faultInjector struct {
+	env          *testEnv
+	rng          *rand.Rand
+	counts       map[string]int
+	pendingUndos sync.WaitGroup
 }
 
-func (f *faults) run(d time.Duration) {
+func (f *faultInjector) run(d time.Duration) {
 	f.counts = map[string]int{}
 	kinds := []struct {
 		name string
@@ -98,58 +98,60 @@
 	}
 }
 
-// later undoes a fault after a time.
-func (f *faults) later(d time.Duration, undo func()) {
-	f.wait.Go(func() {
+// undoAfter ends a fault after a time, in the background.
+func (f *faultInjector) undoAfter(d time.Duration, undo func()) {
+	f.pendingUndos.Go(func() {
 		time.Sleep(d)
 		undo()
 	})
 }
 
-func (f *faults) node() *process { return f.w.nodes[f.rng.IntN(len(f.w.nodes))] }
+func (f *faultInjector) node() *process { return f.env.nodes[f.rng.IntN(len(f.env.nodes))] }
 
-func (f *faults) kill(time.Duration) { f.node().signal(syscall.SIGKILL) }
+func (f *faultInjector) kill(time.Duration) { f.node().signal(syscall.SIGKILL) }
 
-func (f *faults) terminate(time.Duration) { f.node().signal(syscall.SIGTERM) }
+func (f *faultInjector) terminate(time.Duration) { f.node().signal(syscall.SIGTERM) }
 
-func (f *faults) hangup(time.Duration) { f.node().signal(syscall.SIGHUP) }
+func (f *faultInjector) hangup(time.Duration) { f.node().signal(syscall.SIGHUP) }
 
-func (f *faults) pause(d time.Duration) {
+func (f *faultInjector) pause(d time.Duration) {
 	n := f.node()
 	n.signal(syscall.SIGSTOP)
-	f.later(d, func() { n.signal(syscall.SIGCONT) })
+	f.undoAfter(d, func() { n.signal(syscall.SIGCONT) })
 }
 
-func (f *faults) storeFault(d time.Duration) {
-	f.w.store.SetFault([]standin.Fault{standin.Refuse, standin.Silent, standin.LoseAnswers}[f.rng.IntN(3)])
+func (f *faultInjector) storeFault(d time.Duration) {
+	f.env.store.SetFault([]standin.Fault{standin.Refuse, standin.Silent, standin.LoseAnswers}[f.rng.IntN(3)])
 	if f.rng.IntN(2) == 0 {
-		f.w.store.Forget()
+		f.env.store.Forget()
 	}
-	f.later(d, func() { f.w.store.SetFault(standin.NoFault) })
+	f.undoAfter(d, func() { f.env.store.SetFault(standin.NoFault) })
 }
 
-func (f *faults) storeLink(d time.Duration) { f.link(f.node().storeProxy, d) }
+func (f *faultInjector) storeLink(d time.Duration) { f.link(f.node().storeProxy, d) }
 
-func (f *faults) serverLink(d time.Duration) { f.link(f.w.proxies[f.rng.IntN(len(f.w.proxies))], d) }
+func (f *faultInjector) serverLink(d time.Duration) {
+	f.link(f.env.proxies[f.rng.IntN(len(f.env.proxies))], d)
+}
 
-func (f *faults) link(p *proxy, d time.Duration) {
+func (f *faultInjector) link(p *proxy, d time.Duration) {
 	switch f.rng.IntN(5) {
 	case 0:
 		p.reset()
 	case 1:
-		p.silence()
+		p.stall()
 	case 2:
-		p.oneWay.Store(true)
+		p.dropResponses.Store(true)
 	case 3:
 		p.delay.Store(int64(d / 8))
 	case 4:
 		p.refuse.Store(true)
 	}
-	f.later(d, p.heal)
+	f.undoAfter(d, p.clearFaults)
 }
 
-func (f *faults) serverFault(d time.Duration) {
-	s := f.w.servers[f.rng.IntN(len(f.w.servers))]
+func (f *faultInjector) serverFault(d time.Duration) {
+	s := f.env.servers[f.rng.IntN(len(f.env.servers))]
 	b := []standin.Behavior{{Lose: true}, {Reject: true}, {Fail: true}, {Echo: "another"}, {Unsigned: true}, {CutAfter: 4}, {StallAfter: 3},
 		{Gap: 300 * time.Millisecond}}[f.rng.IntN(8)]
 	share := 1 + f.rng.IntN(3)
@@ -160,45 +162,45 @@
 		}
 		return standin.Behavior{Gap: 10 * time.Millisecond}
 	})
-	f.later(d, func() {
+	f.undoAfter(d, func() {
 		s.Behave(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
 	})
 }
 
-// drain takes a server out as planned; another one takes its place.
-func (f *faults) drain(time.Duration) {
-	i := f.rng.IntN(len(f.w.servers))
-	f.w.addServer(f.w.servers[i].Events == 0)
-	f.w.register(i, "draining", 2)
+// drain starts the planned removal of a server and adds a replacement.
+func (f *faultInjector) drain(time.Duration) {
+	i := f.rng.IntN(len(f.env.servers))
+	f.env.addServer(f.env.servers[i].Events == 0)
+	f.env.register(i, "draining", 2)
 }
 
-func (f *faults) configure(time.Duration) { f.w.configure() }
+func (f *faultInjector) configure(time.Duration) { f.env.configure() }
 
-func (f *faults) heal() {
-	f.wait.Wait()
-	f.w.store.SetFault(standin.NoFault)
-	for _, n := range f.w.nodes {
-		n.storeProxy.heal()
+func (f *faultInjector) clearFaults() {
+	f.pendingUndos.Wait()
+	f.env.store.SetFault(standin.NoFault)
+	for _, n := range f.env.nodes {
+		n.storeProxy.clearFaults()
 		n.signal(syscall.SIGCONT)
 	}
-	for _, p := range f.w.proxies {
-		p.heal()
+	for _, p := range f.env.proxies {
+		p.clearFaults()
 	}
 }
 
-// callers send requests and note what they were promised.
+// callers send requests and record the responses that the guarantees cover.
 type callers struct {
-	w                    *world
-	client               *http.Client
-	ids                  atomic.Int64
-	sent, served, broken atomic.Int64
-	mu                   sync.Mutex
-	notRun               map[string]string // by attempt: where
-	wrong                []string
+	env                      *testEnv
+	client                   *http.Client
+	ids                      atomic.Int64
+	sent, served, connErrors atomic.Int64
+	mu                       sync.Mutex
+	notRun                   map[string]string // path by attempt
+	violations               []string
 }
 
-// loop keeps using an address until it fails, as callers do.
-func (c *callers) loop(ctx context.Context, rng *rand.Rand) {
+// sendUntilDone sends requests until ctx ends. It mostly keeps using an address until a request fails, as callers do.
+func (c *callers) sendUntilDone(ctx context.Context, rng *rand.Rand) {
 	addr := ""
 	for ctx.Err() == nil {
 		if addr == "" {
@@ -214,10 +216,10 @@
 
 func (c *callers) resolve(rng *rand.Rand) string {
 	for range 3 {
-		n := c.w.nodes[rng.IntN(len(c.w.nodes))]
+		n := c.env.nodes[rng.IntN(len(c.env.nodes))]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.dir+"/pollenlug/resolve?name="+host, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.registryAddr+"/pollenlug/resolve?name="+host, nil)
 		if err != nil {
 			continue
 		}
@@ -237,7 +239,7 @@
 	return ""
 }
 
-// request sends one request and checks its answer; false means that another address should be used.
+// request sends one request and checks its response. It returns false if the caller should use another address.
 func (c *callers) request(addr, path string) bool {
 	if addr == "" {
 		return false
@@ -245,7 +247,7 @@
 	c.sent.Add(1)
 	id := fmt.Sprintf("attempt-%d", c.ids.Add(1))
 	method := http.MethodPost
-	if path == "/look/" || path == lastingRoute {
+	if path == "/look/" || path == finalRoute {
 		method = http.MethodGet
 	}
 	req, err := http.NewRequest(method, "http://"+addr+path+id, bytes.NewReader([]byte("body of "+id)))
@@ -254,25 +256,25 @@
 	}
 	req.GetBody = nil
 	req.Host = host
-	for name, value := range map[string]string{"Pollenlug-Attempt-Id": id, "Pollenlug-Deadline-Ms": "4000", "Pollenlug-Credential": key} {
+	for name, value := range map[string]string{"Pollenlug-Attempt-Id": id, "Pollenlug-Deadline-Ms": "4000", "Pollenlug-Credential": apiKey} {
 		req.Header.Set(name, value)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		c.broken.Add(1)
+		c.connErrors.Add(1)
 		return false
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.broken.Add(1)
+		c.connErrors.Add(1)
 		return false
 	}
-	c.judge(id, path, resp, string(body))
+	c.checkResponse(id, path, resp, string(body))
 	return resp.StatusCode == http.StatusOK
 }
 
-func (c *callers) judge(id, path string, resp *http.Response, body string) {
+func (c *callers) checkResponse(id, path string, resp *http.Response, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch resp.StatusCode {
@@ -281,57 +283,57 @@
 		signer := strings.TrimPrefix(resp.Header.Get("Pollenlug-Server-Signature"), "signed-by-")
 		want := fmt.Sprintf("answer of %s to %s", signer, id)
 		if path == "/quote/" {
-			want = stream()
+			want = expectedStream()
 		}
 		if body != want || signer == "" {
-			c.wrong = append(c.wrong, fmt.Sprintf("%s got %q signed by %q", id, body, signer))
+			c.violations = append(c.violations, fmt.Sprintf("%s got %q signed by %q", id, body, signer))
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		c.notRun[id] = path
 	case http.StatusBadGateway, http.StatusGatewayTimeout, http.StatusInternalServerError:
 	case http.StatusNotFound:
-		if path != lastingRoute { // which a node may not know yet
-			c.wrong = append(c.wrong, fmt.Sprintf("%s of %s got status 404", id, path))
+		if path != finalRoute { // a node may not have this route yet
+			c.violations = append(c.violations, fmt.Sprintf("%s of %s got status 404", id, path))
 		}
 	default:
-		c.wrong = append(c.wrong, fmt.Sprintf("%s of %s got status %d: %s", id, path, resp.StatusCode, body))
+		c.violations = append(c.violations, fmt.Sprintf("%s of %s got status %d: %s", id, path, resp.StatusCode, body))
 	}
 }
 
-func stream() string {
+func expectedStream() string {
 	var b strings.Builder
-	for i := 1; i <= events; i++ {
+	for i := 1; i <= streamEvents; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
 	}
 	return b.String()
 }
 
-// check compares what callers were told with what the servers ran.
-func (c *callers) check(t *testing.T) {
+// checkGuarantees compares the responses that callers received with the runs on the servers.
+func (c *callers) checkGuarantees(t *testing.T) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, wrong := range c.wrong {
-		t.Error(wrong)
+	for _, violation := range c.violations {
+		t.Error(violation)
 	}
 	runs := map[string]int{}
-	for _, s := range c.w.servers {
+	for _, s := range c.env.servers {
 		for _, run := range s.Runs() {
 			runs[run.Attempt]++
 			if run.Body != "body of "+run.Attempt || run.Header.Get("Pollenlug-Tenant") != "guild" {
 				t.Errorf("%s arrived as %q of %q", run.Attempt, run.Body, run.Header.Get("Pollenlug-Tenant"))
 			}
 			if strings.HasPrefix(run.Target, "/book/") && runs[run.Attempt] > 1 {
-				t.Errorf("%s may run once and ran again on %s", run.Attempt, s.ID)
+				t.Errorf("%s may run at most once, but ran again on %s", run.Attempt, s.ID)
 			}
 		}
 	}
 	for id, path := range c.notRun {
 		if path == "/book/" && runs[id] > 0 {
-			t.Errorf("%s was told not to have run and ran", id)
+			t.Errorf("%s was refused as not run, but ran", id)
 		}
 	}
 	reported, fencing := map[int64]map[string]int64{}, uint64(0)
-	for _, call := range c.w.duties.Calls() {
+	for _, call := range c.env.duties.Calls() {
 		if call.Path != "/usage" {
 			continue
 		}
@@ -340,39 +342,39 @@
 		}
 		reported[call.Window] = call.Counts
 		if call.Fencing < fencing {
-			t.Errorf("fencing number fell from %d to %d", fencing, call.Fencing)
+			t.Errorf("fencing token decreased from %d to %d", fencing, call.Fencing)
 		}
 		fencing = call.Fencing
 	}
 }
 
 // awaitServing waits until every node serves every kind of request.
-func (c *callers) awaitServing(t *testing.T, within time.Duration) {
+func (c *callers) awaitServing(t *testing.T, timeout time.Duration) {
 	t.Helper()
-	for _, n := range c.w.nodes {
+	for _, n := range c.env.nodes {
 		for _, path := range []string{"/book/", "/look/", "/quote/"} {
-			c.await(t, n, path, within)
+			c.await(t, n, path, timeout)
 		}
 	}
 }
 
-// awaitRoute waits until every node serves the route of the last configuration.
-func (c *callers) awaitRoute(t *testing.T, within time.Duration) {
+// awaitFinalRoute waits until every node serves the route of the last configuration.
+func (c *callers) awaitFinalRoute(t *testing.T, timeout time.Duration) {
 	t.Helper()
-	for _, n := range c.w.nodes {
-		c.await(t, n, lastingRoute, within)
+	for _, n := range c.env.nodes {
+		c.await(t, n, finalRoute, timeout)
 	}
 }
 
-func (c *callers) await(t *testing.T, n *process, path string, within time.Duration) {
+func (c *callers) await(t *testing.T, n *process, path string, timeout time.Duration) {
 	t.Helper()
-	for end := time.Now().Add(within); !c.probe(n, path); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !c.probe(n, path); time.Sleep(50 * time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "%s does not serve %s", n.name, path)
 	}
 }
 
-// probe asks one node without counting a refusal of a node that is starting.
+// probe reports whether a node serves a request on path.
 func (c *callers) probe(n *process, path string) bool {
 	before := c.served.Load()
-	return c.request(n.caller, path) && c.served.Load() > before
+	return c.request(n.callerAddr, path) && c.served.Load() > before
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -21,67 +21,67 @@
 )
 
 const (
-	processVariable = "POLLENLUG_SOAK_PROCESS"
-	events          = 12
-	host            = "soak.example"
-	key             = "soak-key"
-	lastingRoute    = "/new/"
+	processEnvVar = "POLLENLUG_SOAK_PROCESS"
+	streamEvents  = 12
+	host          = "soak.example"
+	apiKey        = "soak-key"
+	finalRoute    = "/new/"
 )
 
-// TestMain runs the program itself when the soak starts it as a process.
+// TestMain runs the program instead of the tests in the processes that the soak starts.
 func TestMain(m *testing.M) {
-	if os.Getenv(processVariable) == "1" {
+	if os.Getenv(processEnvVar) == "1" {
 		os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// process is one node; it is started again when it ends, like on the platform.
+// process is one node. It is restarted when it ends, as the platform does.
 type process struct {
-	name, settings     string
-	caller, ready, dir string
-	storeProxy         *proxy
-	log                *os.File
-	mu                 sync.Mutex
-	cmd                *exec.Cmd
-	ended              chan struct{}
+	name, settings                      string
+	callerAddr, readyAddr, registryAddr string
+	storeProxy                          *proxy
+	log                                 *os.File
+	mu                                  sync.Mutex
+	cmd                                 *exec.Cmd
+	exited                              chan struct{}
 }
 
-// world is a deployment of processes with stand-ins around it.
-type world struct {
-	t         *testing.T
-	store     *standin.Store
-	duties    *standin.Duties
-	ports     *standin.Ports
-	nodes     []*process
-	servers   []*standin.Server
-	proxies   []*proxy // of the servers
-	version   int
-	withRoute bool
-	ending    atomic.Bool
+// testEnv is a deployment of node processes with the stand-ins that they use.
+type testEnv struct {
+	t              *testing.T
+	store          *standin.Store
+	duties         *standin.Duties
+	ports          *standin.Ports
+	nodes          []*process
+	servers        []*standin.Server
+	proxies        []*proxy // in front of the servers
+	version        int
+	withFinalRoute bool
+	stopping       atomic.Bool
 }
 
-func newWorld(t *testing.T, nodes, services int) *world {
-	w := &world{t: t, store: standin.NewStore(), duties: &standin.Duties{}, ports: standin.NewPorts(*portFlag)}
-	store, duties := standin.Listen(w.store), standin.Listen(w.duties)
+func newTestEnv(t *testing.T, nodes, services int) *testEnv {
+	env := &testEnv{t: t, store: standin.NewStore(), duties: &standin.Duties{}, ports: standin.NewPorts(*portFlag)}
+	store, duties := standin.Listen(env.store), standin.Listen(env.duties)
 	t.Cleanup(store.Close)
 	t.Cleanup(duties.Close)
-	w.configure()
+	env.configure()
 	for i := range 2 * services {
-		w.addServer(i%2 == 0)
+		env.addServer(i%2 == 0)
 	}
 	for i := range nodes {
-		w.addNode(i, store.Addr(), duties.Addr())
+		env.addNode(i, store.Addr(), duties.Addr())
 	}
-	return w
+	return env
 }
 
 // configure writes the next version of the configuration.
-func (w *world) configure() {
-	w.version++
+func (env *testEnv) configure() {
+	env.version++
 	var routes []map[string]any
-	for prefix, kind := range map[string]string{"/book/": "non_idempotent", "/look/": "idempotent", "/quote/": "streaming", lastingRoute: "idempotent"} {
-		if prefix == lastingRoute && !w.withRoute {
+	for prefix, kind := range map[string]string{"/book/": "non_idempotent", "/look/": "idempotent", "/quote/": "streaming", finalRoute: "idempotent"} {
+		if prefix == finalRoute && !env.withFinalRoute {
 			continue
 		}
 		service := "desk"
@@ -91,46 +91,46 @@
 		routes = append(routes, map[string]any{"name": prefix, "hostname": host, "prefix": prefix, "route_kind": kind, "timeout_ms": 5000,
 			"latency_goal_ms": 1000, "itl_target_ms": 200, "service": service, "max_attempts": 3, "resumable": kind == "streaming"})
 	}
-	w.store.Put("op", "config", map[string]any{"version": w.version, "routes": routes,
+	env.store.Put("op", "config", map[string]any{"version": env.version, "routes": routes,
 		"services": []map[string]any{{"name": "desk", "max_conns": 100}, {"name": "engine", "max_conns": 100,
 			"engine_type": map[string]any{"slots": 16, "kv_capacity": 100000}}},
 		"limits":  map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1 << 20},
-		"tenants": []map[string]any{{"name": "guild", "api_keys": []string{key}, "unit": "token_count", "uncached_tokens": 10, "rate_per_s": 100000, "burst": 100000}}})
+		"tenants": []map[string]any{{"name": "guild", "api_keys": []string{apiKey}, "unit": "token_count", "uncached_tokens": 10, "rate_per_s": 100000, "burst": 100000}}})
 }
 
-func (w *world) addServer(plain bool) {
-	n, service := events, "engine"
+func (env *testEnv) addServer(plain bool) {
+	n, service := streamEvents, "engine"
 	if plain {
 		n, service = 0, "desk"
 	}
-	s := standin.NewServer(fmt.Sprintf("%s-%d", service, len(w.servers)), n)
+	s := standin.NewServer(fmt.Sprintf("%s-%d", service, len(env.servers)), n)
 	s.Behave(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
-	w.t.Cleanup(s.Close)
-	p := newProxy(w.t, s.Addr())
-	w.servers, w.proxies = append(w.servers, s), append(w.proxies, p)
-	w.register(len(w.servers)-1, "ready", 1)
+	env.t.Cleanup(s.Close)
+	p := newProxy(env.t, s.Addr())
+	env.servers, env.proxies = append(env.servers, s), append(env.proxies, p)
+	env.register(len(env.servers)-1, "ready", 1)
 }
 
-func (w *world) register(i int, state string, sequence int) {
+func (env *testEnv) register(i int, state string, sequence int) {
 	service := "engine"
-	if w.servers[i].Events == 0 {
+	if env.servers[i].Events == 0 {
 		service = "desk"
 	}
-	row := w.servers[i].Row(service, "domain-a", 8, state, sequence)
-	row["address"] = w.proxies[i].addr()
-	w.store.Put("servers", w.servers[i].ID, row)
+	row := env.servers[i].Row(service, "domain-a", 8, state, sequence)
+	row["address"] = env.proxies[i].addr()
+	env.store.Put("servers", env.servers[i].ID, row)
 }
 
-func (w *world) addNode(i int, store, duties string) {
-	addrs := w.ports.Take(8)
-	p := &process{name: fmt.Sprintf("node-%d", i), caller: addrs[0], ready: addrs[1], dir: addrs[3], storeProxy: newProxy(w.t, store),
-		settings: filepath.Join(w.t.TempDir(), fmt.Sprintf("node-%d.json", i))}
+func (env *testEnv) addNode(i int, store, duties string) {
+	addrs := env.ports.Take(8)
+	p := &process{name: fmt.Sprintf("node-%d", i), callerAddr: addrs[0], readyAddr: addrs[1], registryAddr: addrs[3], storeProxy: newProxy(env.t, store),
+		settings: filepath.Join(env.t.TempDir(), fmt.Sprintf("node-%d.json", i))}
 	first := 0
 	_, err := fmt.Sscanf(addrs[4], "127.0.0.1:%d", &first)
-	assert.NilError(w.t, err)
+	assert.NilError(env.t, err)
 	var seeds []string
-	for _, other := range w.nodes {
-		seeds = append(seeds, other.dir) // stale on purpose: the port is another one
+	for _, other := range env.nodes {
+		seeds = append(seeds, other.registryAddr) // deliberately wrong: the registry port instead of the control plane port
 	}
 	boot := map[string]any{"node_name": p.name, "ip": "127.0.0.1", "zone": "domain-a", "region": "r",
 		"listen":         map[string]string{"frontend": addrs[0], "ready": addrs[1], "control_plane": addrs[2], "registry": addrs[3]},
@@ -140,19 +140,19 @@
 			"lease_ms": 1500, "usage_window_s": 2, "usage_delay_s": 6, "ttl_max_s": 5, "config_deadline_ms": 2000},
 		"platform": map[string]string{"address": p.storeProxy.addr()}, "cloud_api": map[string]string{"address": duties}}
 	data, err := json.Marshal(boot)
-	assert.NilError(w.t, err)
-	assert.NilError(w.t, os.WriteFile(p.settings, data, 0o600))
-	p.log, err = os.Create(filepath.Join(w.t.ArtifactDir(), p.name+".log"))
-	assert.NilError(w.t, err)
-	w.nodes = append(w.nodes, p)
-	w.start(p)
-	w.t.Cleanup(func() {
-		w.ending.Store(true)
-		for ended := false; !ended; { // one may just have been started again
+	assert.NilError(env.t, err)
+	assert.NilError(env.t, os.WriteFile(p.settings, data, 0o600))
+	p.log, err = os.Create(filepath.Join(env.t.ArtifactDir(), p.name+".log"))
+	assert.NilError(env.t, err)
+	env.nodes = append(env.nodes, p)
+	env.start(p)
+	env.t.Cleanup(func() {
+		env.stopping.Store(true)
+		for ended := false; !ended; { // a process may have been restarted meanwhile
 			p.signal(syscall.SIGCONT)
 			p.signal(syscall.SIGKILL)
 			select {
-			case <-p.current():
+			case <-p.exitSignal():
 				ended = true
 			case <-time.After(time.Second):
 			}
@@ -161,37 +161,37 @@
 	})
 }
 
-// start starts the process and starts it again whenever it ends.
-func (w *world) start(p *process) {
+// start starts the process and restarts it whenever it ends.
+func (env *testEnv) start(p *process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd := exec.Command(os.Args[0], "edge", "--settings", p.settings)
-	cmd.Env = append(os.Environ(), processVariable+"=1")
+	cmd.Env = append(os.Environ(), processEnvVar+"=1")
 	cmd.Stdout, cmd.Stderr = p.log, io.MultiWriter(p.log)
-	assert.NilError(w.t, cmd.Start())
+	assert.NilError(env.t, cmd.Start())
 	ended := make(chan struct{})
-	p.cmd, p.ended = cmd, ended
+	p.cmd, p.exited = cmd, ended
 	go func() {
-		_ = cmd.Wait() // how a killed process ends does not matter
+		_ = cmd.Wait() // a killed process returns an error
 		time.Sleep(300 * time.Millisecond)
-		if w.ending.Load() {
+		if env.stopping.Load() {
 			close(ended)
 			return
 		}
-		w.start(p)
+		env.start(p)
 	}()
 }
 
-func (p *process) current() chan struct{} {
+func (p *process) exitSignal() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.exited
 }
 
-// signal sends a signal to the process of this node only.
+// signal sends a signal to the process of this node.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// The process may have ended by itself; it is started again then.
+	// An error means that the process has ended; it is restarted then.
 	_ = p.cmd.Process.Signal(s)
 }
