--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -153,7 +153,7 @@
 		Seed:      seed,
 		MaxTokens: uint32(length),
 	}
-	out.want, out.finish = engine.Answer(out.asked)
+	out.want, out.finish = engine.ExpectedResponse(out.asked)
 	return out
 }
 
--- a/internal/devcluster/failure_test.go
+++ b/internal/devcluster/failure_test.go
@@ -28,7 +28,7 @@
 
 // longResponse returns the response of a run without faults. Every run with faults must return the same text.
 func longResponse() string {
-	tokens, _ := engine.Answer(backend.GenerateRequest{Model: "brief-large", Prompt: longPrompt, Seed: longSeed, MaxTokens: longTokens})
+	tokens, _ := engine.ExpectedResponse(backend.GenerateRequest{Model: "brief-large", Prompt: longPrompt, Seed: longSeed, MaxTokens: longTokens})
 	return strings.Join(tokens, "")
 }
 
--- a/internal/node/caller_test.go
+++ b/internal/node/caller_test.go
@@ -127,7 +127,7 @@
 }
 
 func (p prompt) expectedText() string {
-	expected, _ := engine.Answer(backend.GenerateRequest{Model: "brief-large", Prompt: p.text, Seed: p.seed, MaxTokens: p.tokens})
+	expected, _ := engine.ExpectedResponse(backend.GenerateRequest{Model: "brief-large", Prompt: p.text, Seed: p.seed, MaxTokens: p.tokens})
 	return strings.Join(expected, "")
 }
 
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -71,9 +71,9 @@
 	return x ^ x>>31
 }
 
-// Answer returns all tokens and the finish reason with which every engine responds to req. Only Model, Adapter, Prompt,
+// ExpectedResponse returns all tokens and the finish reason with which every engine responds to req. Only Model, Adapter, Prompt,
 // Seed and MaxTokens matter. MaxTokens 0 means no limit below the natural length.
-func Answer(req backend.GenerateRequest) (tokens []string, finishReason string) {
+func ExpectedResponse(req backend.GenerateRequest) (tokens []string, finishReason string) {
 	res := responseFor(&req)
 	tokens = make([]string, res.length)
 	for i := range tokens {
--- a/internal/standin/engine/cache_test.go
+++ b/internal/standin/engine/cache_test.go
@@ -143,12 +143,12 @@
 // one of them.
 func TestResponseDependsOnTheRequestOnly(t *testing.T) {
 	base := backend.GenerateRequest{ID: "1", Attempt: 1, Model: "m", Adapter: "a", Prompt: "p", Seed: 1, MaxTokens: 50}
-	tokens, finish := Answer(base)
+	tokens, finish := ExpectedResponse(base)
 	assert.Equal(t, finish, "length")
 	assert.Equal(t, len(tokens), 50)
 	same := base
 	same.ID, same.Attempt, same.Priority, same.Resume, same.KVFrom = "2", 2, 3, tokens[:5], "1"
-	again, _ := Answer(same)
+	again, _ := ExpectedResponse(same)
 	assert.DeepEqual(t, again, tokens)
 	for _, change := range []func(*backend.GenerateRequest){
 		func(r *backend.GenerateRequest) { r.Model = "n" },
@@ -158,11 +158,11 @@
 	} {
 		other := base
 		change(&other)
-		different, _ := Answer(other)
+		different, _ := ExpectedResponse(other)
 		assert.Assert(t, strings.Join(different, "") != strings.Join(tokens, ""))
 	}
 	base.MaxTokens = 0
-	full, finish := Answer(base)
+	full, finish := ExpectedResponse(base)
 	assert.Equal(t, finish, "stop")
 	assert.DeepEqual(t, full[:50], tokens)
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -76,7 +76,7 @@
 		random := rand.New(rand.NewPCG(7, 7))
 		for i := range 20 {
 			req := backend.GenerateRequest{ID: fmt.Sprint(i), Attempt: 1, Model: "m", Adapter: "a", Prompt: repeatWord(50+i, "reef"), Seed: uint64(i), MaxTokens: 100}
-			want, _ := engine.Answer(req)
+			want, _ := engine.ExpectedResponse(req)
 			first, _, err := f.generate(t.Context(), i%2, req, 1+random.IntN(len(want)-1))
 			assert.ErrorIs(t, err, backend.ErrInterrupted)
 			assert.NilError(t, f.engines[i%2].Restart())
@@ -203,7 +203,7 @@
 		f := newFleet(t, 2, engine.Options{Tracker: engine.NewRecomputeTracker()})
 		defer f.close()
 		req := backend.GenerateRequest{ID: "r", Attempt: 1, Model: "m", Prompt: repeatWord(1000, "keel"), MaxTokens: 60}
-		want, _ := engine.Answer(req)
+		want, _ := engine.ExpectedResponse(req)
 		var kv []byte
 		errMoved := errors.New("moved")
 		err := f.client.Generate(t.Context(), "engine-0:1", req, func(c backend.Chunk) error {
