--- a/internal/adapter/enginehttp/enginehttp_test.go
+++ b/internal/adapter/enginehttp/enginehttp_test.go
@@ -183,7 +183,7 @@
 		for range 3 { // leave idle connections
 			assert.NilError(t, <-streams)
 		}
-		assert.Equal(t, e.Net().SilenceOpen(), 4)
+		assert.Equal(t, e.Net().StallOpenConns(), 4)
 		assertClass(t, <-streams, backend.ErrSilent)
 		start := time.Now()
 		assert.NilError(t, run(5))
@@ -195,7 +195,7 @@
 		}
 		assert.NilError(t, <-streams)
 		assert.NilError(t, <-streams)
-		assert.Equal(t, e.Net().SilenceOpen(), 2)
+		assert.Equal(t, e.Net().StallOpenConns(), 2)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := client.Load(ctx, addr)
--- a/internal/devcluster/failure_test.go
+++ b/internal/devcluster/failure_test.go
@@ -115,7 +115,7 @@
 	for name, fail := range map[string]func(server string){
 		"reclaim": func(server string) { c.Standins.Platform.Cloud.Reclaim(time.Second, server) },
 		"crash":   func(server string) { c.Standins.selectServers(server)[server].Crash() },
-		"silence": func(server string) { c.Standins.selectServers(server)[server].Net().SilenceOpen() },
+		"silence": func(server string) { c.Standins.selectServers(server)[server].Net().StallOpenConns() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r receivedStream
--- a/internal/devcluster/faults.go
+++ b/internal/devcluster/faults.go
@@ -65,7 +65,7 @@
 		"restart":       s.eachServer(func(b backendServer) { _ = b.Restart() }),
 		"freeze":        s.eachServer(func(b backendServer) { b.Freeze() }),
 		"unfreeze":      s.eachServer(func(b backendServer) { b.Unfreeze() }),
-		"silence":       s.eachServer(func(b backendServer) { b.Net().SilenceOpen() }),
+		"silence":       s.eachServer(func(b backendServer) { b.Net().StallOpenConns() }),
 		"poison":        s.faultPoison,
 		"store":         s.faultStore,
 		"drop-answers":  s.faultDrop,
--- a/internal/node/random_schedule_test.go
+++ b/internal/node/random_schedule_test.go
@@ -192,7 +192,7 @@
 		s.Freeze()
 		time.AfterFunc(f.For, s.Unfreeze)
 	case "silence":
-		s.Net().SilenceOpen()
+		s.Net().StallOpenConns()
 	}
 }
 
--- a/internal/standin/netfault/netfault.go
+++ b/internal/standin/netfault/netfault.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// SilenceOpen stalls the connections that are open now: they transfer no more data and stay open until their peer
+// StallOpenConns stalls the connections that are open now: they transfer no more data and stay open until their peer
 // closes them. New connections work. It returns the number of stalled connections.
-func (s *Server) SilenceOpen() int {
+func (s *Server) StallOpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
