--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -142,7 +142,7 @@
 // Guards against a lost answer that looks like a refusal, and a stand-in whose lost write has no effect.
 func TestLostAnswerOverHTTP(t *testing.T) {
 	client, p := open(t)
-	p.LostAnswers(100, true)
+	p.LoseResponses(100, true)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err := client.Table().Commit(ctx, mutation)
--- a/internal/devcluster/faults.go
+++ b/internal/devcluster/faults.go
@@ -151,7 +151,7 @@
 	case "hanging":
 		s.Platform.StoreOutage(table.Hanging)
 	}
-	s.Platform.LostAnswers(req.LostPercent, false)
+	s.Platform.LoseResponses(req.LostPercent, false)
 	s.Platform.LateWrites(req.LatePercent, time.Duration(req.LateMs)*time.Millisecond)
 	s.Platform.StaleReads(req.StalePercent, time.Duration(req.StaleMs)*time.Millisecond)
 	if req.SlowMs > 0 {
--- a/internal/node/random_schedule_test.go
+++ b/internal/node/random_schedule_test.go
@@ -167,7 +167,7 @@
 	case "store-hangs":
 		r.platform.StoreOutage(table.Hanging)
 	case "store-loses":
-		r.platform.LostAnswers(50, f.Target%2 == 0)
+		r.platform.LoseResponses(50, f.Target%2 == 0)
 	case "store-late":
 		r.platform.LateWrites(50, f.For)
 	case "store-slow":
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -158,8 +158,8 @@
 			name, key string
 			inject    func()
 		}{
-			{"the store loses all answers to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
-			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
+			{"the store loses all answers to writes", "lost", func() { c.platform.LoseResponses(100, false) }},
+			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LoseResponses(100, true) }},
 			{"all writes take effect up to 2 s late", "late-a", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 2 s late, another booking", "late-b", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 10 s late", "later", func() { c.platform.LateWrites(100, 10*time.Second) }},
