--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -147,7 +147,7 @@
 	defer cancel()
 	_, err := client.Table().Commit(ctx, mutation)
 	assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
-	p.HealStore()
+	p.ClearStoreFaults()
 	row, err := client.Table().Get(t.Context(), "t", "k")
 	assert.NilError(t, err)
 	assert.Equal(t, string(row.Value), "v")
--- a/internal/devcluster/faults.go
+++ b/internal/devcluster/faults.go
@@ -144,7 +144,7 @@
 }
 
 func (s *Standins) faultStore(req FaultRequest) any {
-	s.Platform.HealStore()
+	s.Platform.ClearStoreFaults()
 	switch req.Outage {
 	case "refusing":
 		s.Platform.StoreOutage(table.Refusing)
--- a/internal/node/config_session_test.go
+++ b/internal/node/config_session_test.go
@@ -160,7 +160,7 @@
 		during := c.folder.EditFile("94-during.json", workspaceFile("during"))
 		time.Sleep(5 * time.Second)
 		s.observe("not in force before it is accepted: %v", c.nodes[0].status().Config.FolderRevision < during)
-		c.platform.HealStore()
+		c.platform.ClearStoreFaults()
 		_, ok = c.awaitRevision(during, 10*time.Second, c.nodes...)
 		s.observe("in force everywhere within 10 s: %v", ok)
 		s.observe("nodes whose version has decreased: %v", stopWatching())
--- a/internal/node/random_schedule_test.go
+++ b/internal/node/random_schedule_test.go
@@ -96,7 +96,7 @@
 		r.check(fmt.Sprintf("after step %d (%s)", i+1, f.Kind))
 	}
 	time.Sleep(6 * time.Second) // until the longest fault has ended
-	c.platform.HealStore()
+	c.platform.ClearStoreFaults()
 	r.load.stop()
 	r.check("after the load")
 	time.Sleep(quiescePeriod)
@@ -175,7 +175,7 @@
 	case "store-stale":
 		r.platform.StaleReads(50, f.For)
 	}
-	time.AfterFunc(f.For, r.platform.HealStore)
+	time.AfterFunc(f.For, r.platform.ClearStoreFaults)
 }
 
 func (r *faultRun) serverFault(f fault) {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -96,8 +96,8 @@
 	p.changeFaults(func(f *table.Faults) { f.StalePercent, f.MaxStale = percent, maxAge })
 }
 
-// HealStore ends all faults of the table and the object store.
-func (p *Platform) HealStore() {
+// ClearStoreFaults ends all faults of the table and the object store.
+func (p *Platform) ClearStoreFaults() {
 	p.changeFaults(func(f *table.Faults) { *f = table.Faults{} })
 }
 
