--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -1,5 +1,5 @@
-// Package example embeds the default configuration directory of `pollenlug dev`. Its tokens are council-token, shop-token and
-// archive-token, for the workspaces council, shop and archive.
+// Package example embeds the default configuration directory of `pollenlug dev`. Its tokens are council-token,
+// shop-token and archive-token, for the workspaces council, shop and archive.
 package example
 
 import (
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -20,11 +20,11 @@
 	refuse        atomic.Bool  // new connections are reset
 
 	mu    sync.Mutex
-	links map[*link]bool
+	conns map[*proxiedConn]bool
 }
 
-// link is one forwarded connection.
-type link struct {
+// proxiedConn is one forwarded connection.
+type proxiedConn struct {
 	client, server net.Conn
 	stalled        atomic.Bool
 }
@@ -32,7 +32,7 @@
 func newProxy(t *testing.T, target string) *proxy {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p := &proxy{listener: listener, target: target, links: map[*link]bool{}}
+	p := &proxy{listener: listener, target: target, conns: map[*proxiedConn]bool{}}
 	go p.accept()
 	t.Cleanup(func() {
 		_ = listener.Close()
@@ -59,16 +59,16 @@
 			_ = client.Close()
 			continue
 		}
-		l := &link{client: client, server: server}
+		l := &proxiedConn{client: client, server: server}
 		p.mu.Lock()
-		p.links[l] = true
+		p.conns[l] = true
 		p.mu.Unlock()
 		go p.forward(l, client, server, false)
 		go p.forward(l, server, client, true)
 	}
 }
 
-func (p *proxy) forward(l *link, from, to net.Conn, fromServer bool) {
+func (p *proxy) forward(l *proxiedConn, from, to net.Conn, fromServer bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -87,30 +87,30 @@
 			_ = l.client.Close()
 			_ = l.server.Close()
 			p.mu.Lock()
-			delete(p.links, l)
+			delete(p.conns, l)
 			p.mu.Unlock()
 			return
 		}
 	}
 }
 
-func (p *proxy) forEachLink(do func(*link)) {
+func (p *proxy) forEachConn(do func(*proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.conns {
 		do(l)
 	}
 }
 
 func (p *proxy) reset() {
-	p.forEachLink(func(l *link) {
+	p.forEachConn(func(l *proxiedConn) {
 		_ = l.client.(*net.TCPConn).SetLinger(0)
 		_ = l.client.Close()
 		_ = l.server.Close()
 	})
 }
 
-func (p *proxy) stall() { p.forEachLink(func(l *link) { l.stalled.Store(true) }) }
+func (p *proxy) stall() { p.forEachConn(func(l *proxiedConn) { l.stalled.Store(true) }) }
 
 func (p *proxy) clearFaults() {
 	p.delay.Store(0)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -62,7 +62,7 @@
 	for i := range 8 {
 		running.Go(func() { c.sendUntilDone(ctx, rand.New(rand.NewPCG(seed, uint64(i+2)))) })
 	}
-	f := &faultInjector{env: env, rng: rng}
+	f := &injector{env: env, rng: rng}
 	f.run(*timeFlag)
 	f.clearFaults()
 	env.withFinalRoute = true
@@ -75,15 +75,15 @@
 	c.checkGuarantees(t)
 }
 
-// faultInjector injects random faults, which can overlap.
-type faultInjector struct {
+// injector injects random faults, which can overlap.
+type injector struct {
 	env          *testEnv
 	rng          *rand.Rand
 	counts       map[string]int
 	pendingUndos sync.WaitGroup
 }
 
-func (f *faultInjector) run(d time.Duration) {
+func (f *injector) run(d time.Duration) {
 	f.counts = map[string]int{}
 	kinds := []struct {
 		name string
@@ -99,28 +99,28 @@
 }
 
 // undoAfter ends a fault after a time, in the background.
-func (f *faultInjector) undoAfter(d time.Duration, undo func()) {
+func (f *injector) undoAfter(d time.Duration, undo func()) {
 	f.pendingUndos.Go(func() {
 		time.Sleep(d)
 		undo()
 	})
 }
 
-func (f *faultInjector) node() *process { return f.env.nodes[f.rng.IntN(len(f.env.nodes))] }
+func (f *injector) node() *process { return f.env.nodes[f.rng.IntN(len(f.env.nodes))] }
 
-func (f *faultInjector) kill(time.Duration) { f.node().signal(syscall.SIGKILL) }
+func (f *injector) kill(time.Duration) { f.node().signal(syscall.SIGKILL) }
 
-func (f *faultInjector) terminate(time.Duration) { f.node().signal(syscall.SIGTERM) }
+func (f *injector) terminate(time.Duration) { f.node().signal(syscall.SIGTERM) }
 
-func (f *faultInjector) hangup(time.Duration) { f.node().signal(syscall.SIGHUP) }
+func (f *injector) hangup(time.Duration) { f.node().signal(syscall.SIGHUP) }
 
-func (f *faultInjector) pause(d time.Duration) {
+func (f *injector) pause(d time.Duration) {
 	n := f.node()
 	n.signal(syscall.SIGSTOP)
 	f.undoAfter(d, func() { n.signal(syscall.SIGCONT) })
 }
 
-func (f *faultInjector) storeFault(d time.Duration) {
+func (f *injector) storeFault(d time.Duration) {
 	f.env.store.SetFault([]standin.Fault{standin.Refuse, standin.Silent, standin.LoseAnswers}[f.rng.IntN(3)])
 	if f.rng.IntN(2) == 0 {
 		f.env.store.Forget()
@@ -128,13 +128,11 @@
 	f.undoAfter(d, func() { f.env.store.SetFault(standin.NoFault) })
 }
 
-func (f *faultInjector) storeLink(d time.Duration) { f.link(f.node().storeProxy, d) }
+func (f *injector) storeLink(d time.Duration) { f.link(f.node().storeProxy, d) }
 
-func (f *faultInjector) serverLink(d time.Duration) {
-	f.link(f.env.proxies[f.rng.IntN(len(f.env.proxies))], d)
-}
+func (f *injector) serverLink(d time.Duration) { f.link(f.env.links[f.rng.IntN(len(f.env.links))], d) }
 
-func (f *faultInjector) link(p *proxy, d time.Duration) {
+func (f *injector) link(p *proxy, d time.Duration) {
 	switch f.rng.IntN(5) {
 	case 0:
 		p.reset()
@@ -150,7 +148,7 @@
 	f.undoAfter(d, p.clearFaults)
 }
 
-func (f *faultInjector) serverFault(d time.Duration) {
+func (f *injector) serverFault(d time.Duration) {
 	s := f.env.servers[f.rng.IntN(len(f.env.servers))]
 	b := []standin.Behavior{{Lose: true}, {Reject: true}, {Fail: true}, {Echo: "another"}, {Unsigned: true}, {CutAfter: 4}, {StallAfter: 3},
 		{Gap: 300 * time.Millisecond}}[f.rng.IntN(8)]
@@ -168,22 +166,22 @@
 }
 
 // drain starts the planned removal of a server and adds a replacement.
-func (f *faultInjector) drain(time.Duration) {
+func (f *injector) drain(time.Duration) {
 	i := f.rng.IntN(len(f.env.servers))
 	f.env.addServer(f.env.servers[i].Events == 0)
 	f.env.register(i, "draining", 2)
 }
 
-func (f *faultInjector) configure(time.Duration) { f.env.configure() }
+func (f *injector) configure(time.Duration) { f.env.configure() }
 
-func (f *faultInjector) clearFaults() {
+func (f *injector) clearFaults() {
 	f.pendingUndos.Wait()
 	f.env.store.SetFault(standin.NoFault)
 	for _, n := range f.env.nodes {
 		n.storeProxy.clearFaults()
 		n.signal(syscall.SIGCONT)
 	}
-	for _, p := range f.env.proxies {
+	for _, p := range f.env.links {
 		p.clearFaults()
 	}
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -55,7 +55,7 @@
 	ports          *standin.Ports
 	nodes          []*process
 	servers        []*standin.Server
-	proxies        []*proxy // in front of the servers
+	links          []*proxy // to the servers
 	version        int
 	withFinalRoute bool
 	stopping       atomic.Bool
@@ -107,7 +107,7 @@
 	s.Behave(func(*http.Request) standin.Behavior { return standin.Behavior{Gap: 10 * time.Millisecond} })
 	env.t.Cleanup(s.Close)
 	p := newProxy(env.t, s.Addr())
-	env.servers, env.proxies = append(env.servers, s), append(env.proxies, p)
+	env.servers, env.links = append(env.servers, s), append(env.links, p)
 	env.register(len(env.servers)-1, "ready", 1)
 }
 
@@ -117,7 +117,7 @@
 		service = "desk"
 	}
 	row := env.servers[i].Row(service, "domain-a", 8, state, sequence)
-	row["address"] = env.proxies[i].addr()
+	row["address"] = env.links[i].addr()
 	env.store.Put("servers", env.servers[i].ID, row)
 }
 
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -71,8 +71,8 @@
 	return x ^ x>>31
 }
 
-// ExpectedResponse returns all tokens and the finish reason with which every engine responds to req. Only Model, Adapter, Prompt,
-// Seed and MaxTokens matter. MaxTokens 0 means no limit below the natural length.
+// ExpectedResponse returns all tokens and the finish reason with which every engine responds to req. Only Model,
+// Adapter, Prompt, Seed and MaxTokens matter. MaxTokens 0 means no limit below the natural length.
 func ExpectedResponse(req backend.GenerateRequest) (tokens []string, finishReason string) {
 	res := responseFor(&req)
 	tokens = make([]string, res.length)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,10 +1,10 @@
 // Package engine is a stand-in for a model engine. It has continuous batching, a prefix cache of limited size, delayed
 // and incomplete cache events, delayed load reports, KV cache export and import, orders and fault injection.
 //
-// Responses are deterministic, see Answer: they do not depend on the attempt or the server, so that a test can compare
-// a response that was continued on another engine token by token. One goroutine runs the batch. Since every token can
-// be computed from its offset, the loop only publishes the position of each sequence; the HTTP handlers write the
-// tokens. A slow reader therefore never delays the batch.
+// Responses are deterministic, see ExpectedResponse: they do not depend on the attempt or the server, so that a test can
+// compare a response that was continued on another engine token by token. One goroutine runs the batch. Since every
+// token can be computed from its offset, the loop only publishes the position of each sequence; the HTTP handlers write
+// the tokens. A slow reader therefore never delays the batch.
 //
 // The protocol is JSON over HTTP/1.1:
 //
@@ -73,7 +73,8 @@
 	PrefillTokensPerSecond int
 	// CacheTokens is the memory for prefixes and running sequences, in tokens.
 	CacheTokens int
-	// MaxBatch and MaxWaiting bound running and waiting requests. A request that finds MaxWaiting others waiting is refused.
+	// MaxBatch and MaxWaiting bound running and waiting requests. A request that finds MaxWaiting others waiting is
+	// refused.
 	MaxBatch   int
 	MaxWaiting int
 	// ChecksFencing makes the engine refuse orders with a stale fencing token; otherwise the token is ignored.
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -80,8 +80,8 @@
 	p.changeFaults(func(f *table.Faults) { f.MinLatency, f.MaxLatency = minLatency, maxLatency })
 }
 
-// LoseResponses makes a percentage of the table's writes take effect but return ErrOutcomeUnknown. With hangs they return
-// only when the caller's context ends.
+// LoseResponses makes a percentage of the table's writes take effect but return ErrOutcomeUnknown. With hangs they
+// return only when the caller's context ends.
 func (p *Platform) LoseResponses(percent int, hangs bool) {
 	p.changeFaults(func(f *table.Faults) { f.LostPercent, f.LostHangs = percent, hangs })
 }
