--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -170,14 +170,14 @@
 	priority     uint32
 	hashes       []uint64
 	blockTokens  []int // per block
-	promptTokens int   // tokens of the prompt
+	promptTokens int
 
 	pinned           int // leading blocks that are pinned in the cache
 	privateTokens    int // tokens in private memory
 	cachedTokens     int
 	remainingPrefill int // tokens still to prefill
 	plannedPrefill   int // tokens to prefill in the current step
-	prefilledTokens  int // prefilled tokens
+	prefilledTokens  int
 	active           bool
 	ended            bool
 	earlierProgress  progressRecord
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -256,7 +256,7 @@
 	CachedTokens    uint64 `json:"cached_tokens"`
 	PrefilledTokens uint64 `json:"prefilled_tokens"`
 	GeneratedTokens uint64 `json:"generated_tokens"`
-	// RecomputedTokens were prefilled or generated again because an earlier attempt was interrupted.
+	// RecomputedTokens were prefilled or generated again because the progress of an earlier attempt was lost.
 	RecomputedTokens uint64 `json:"recomputed_tokens"`
 	// ServedTokens were written to a client.
 	ServedTokens uint64 `json:"served_tokens"`
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -50,7 +50,7 @@
 	// then.
 	LatePercent int
 	MaxLate     time.Duration
-	// StalePercent of reads return the state of up to MaxStale ago (at most historyRetention).
+	// StalePercent of reads return the state of up to MaxStale ago (at most a minute).
 	StalePercent int
 	MaxStale     time.Duration
 }
