--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -143,12 +143,12 @@
 // response is lost.
 func TestLostResponseOverHTTP(t *testing.T) {
 	client, p := newPlatform(t)
-	p.LostAnswers(100, true)
+	p.LoseResponses(100, true)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err := client.Table().Commit(ctx, mutation)
 	assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
-	p.HealStore()
+	p.ClearStoreFaults()
 	row, err := client.Table().Get(t.Context(), "t", "k")
 	assert.NilError(t, err)
 	assert.Equal(t, string(row.Value), "v")
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -153,7 +153,7 @@
 		Seed:      seed,
 		MaxTokens: uint32(length),
 	}
-	out.wantTokens, out.wantFinishReason = engine.Answer(out.engineRequest)
+	out.wantTokens, out.wantFinishReason = engine.ExpectedResponse(out.engineRequest)
 	return out
 }
 
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -158,8 +158,8 @@
 			name, key string
 			inject    func()
 		}{
-			{"the store loses all answers to writes", "lost", func() { c.platform.LostAnswers(100, false) }},
-			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LostAnswers(100, true) }},
+			{"the store loses all answers to writes", "lost", func() { c.platform.LoseResponses(100, false) }},
+			{"the store loses all answers and does not even close the connection", "hang", func() { c.platform.LoseResponses(100, true) }},
 			{"all writes take effect up to 2 s late", "late-a", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 2 s late, another booking", "late-b", func() { c.platform.LateWrites(100, 2*time.Second) }},
 			{"all writes take effect up to 10 s late", "later", func() { c.platform.LateWrites(100, 10*time.Second) }},
@@ -175,7 +175,7 @@
 			s.observe("answered within 300 ms: %v", time.Since(start) <= 300*time.Millisecond)
 			time.Sleep(5 * time.Second)
 			s.observe("runs 5 s later: %d", c.runs.Count("shop/"+f.key))
-			c.platform.HealStore()
+			c.platform.ClearStoreFaults()
 			time.Sleep(10 * time.Second)
 			s.observe("runs 10 s after the store has recovered: %d", c.runs.Count("shop/"+f.key))
 			s.observeBooking(c, "resend to another node", caller.book(1, f.key, "deposit"), f.key)
@@ -185,7 +185,7 @@
 		s.observeBooking(c, "booking", caller.book(3, "later", "deposit"), "later")
 		s.observeBooking(c, "booking with a new key", caller.book(3, "given-up", "deposit"), "given-up")
 		time.Sleep(5 * time.Second)
-		c.platform.HealStore()
+		c.platform.ClearStoreFaults()
 		time.Sleep(15 * time.Second)
 		c.nodes[3].kill()
 		s.observeBooking(c, "resend to another node", caller.book(1, "given-up", "deposit"), "given-up")
