--- a/internal/adapter/httpclient/httpclient.go
+++ b/internal/adapter/httpclient/httpclient.go
@@ -207,9 +207,9 @@
 func (c *conn) release() {
 	c.mu.Lock()
 	c.users--
-	idle := c.users == 0 && c.retired
+	closeNow := c.users == 0 && c.retired
 	c.mu.Unlock()
-	if idle {
+	if closeNow {
 		_ = c.Close()
 	}
 }
@@ -226,7 +226,7 @@
 	}
 }
 
-// seal prevents further writes. It returns false, without effect, when a write has started since the count was writes.
+// seal prevents further writes. It returns false, without effect, when a write has started since acquire returned writes.
 func (c *conn) seal(writes uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/adapter/httpclient/httpclient_test.go
+++ b/internal/adapter/httpclient/httpclient_test.go
@@ -47,8 +47,8 @@
 	defer server.Close()
 	defer client.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	var renewals, requests sync.WaitGroup
-	renewals.Go(func() {
+	var retirements, requests sync.WaitGroup
+	retirements.Go(func() {
 		for ctx.Err() == nil {
 			client.RetireConns(addr)
 		}
@@ -63,7 +63,7 @@
 	}
 	requests.Wait()
 	cancel()
-	renewals.Wait()
+	retirements.Wait()
 }
 
 // Guards against sending a request after Do has returned ErrUnreachable for it, for example because its context ended
