--- a/internal/adapter/enginehttp/enginehttp.go
+++ b/internal/adapter/enginehttp/enginehttp.go
@@ -141,7 +141,7 @@
 }
 
 // readTimer cancels a stream when a read exceeds its timeout. Arming it only stores the deadline, which is cheaper than
-// resetting a timer for each token; a timer that fires before the deadline resets itself.
+// resetting a timer for each token; a timer that fires before the deadline or between reads resets itself.
 type readTimer struct {
 	timer    *time.Timer
 	start    time.Time
@@ -152,51 +152,51 @@
 }
 
 func startReadTimer(timeout time.Duration, cancel context.CancelFunc) *readTimer {
-	s := &readTimer{start: time.Now(), cancel: cancel}
-	s.timeout.Store(int64(timeout))
-	s.deadline.Store(int64(timeout))
+	t := &readTimer{start: time.Now(), cancel: cancel}
+	t.timeout.Store(int64(timeout))
+	t.deadline.Store(int64(timeout))
 	ready := make(chan struct{})
-	s.timer = time.AfterFunc(timeout, func() {
-		<-ready // s.timer is assigned
-		s.check()
+	t.timer = time.AfterFunc(timeout, func() {
+		<-ready // t.timer is assigned after AfterFunc returns
+		t.check()
 	})
 	close(ready)
-	return s
+	return t
 }
 
-func (s *readTimer) check() {
-	deadline := s.deadline.Load()
+func (t *readTimer) check() {
+	deadline := t.deadline.Load()
 	if deadline == 0 {
-		s.timer.Reset(time.Duration(s.timeout.Load()))
+		t.timer.Reset(time.Duration(t.timeout.Load()))
 		return
 	}
-	if left := time.Duration(deadline) - time.Since(s.start); left > 0 {
-		s.timer.Reset(left)
+	if left := time.Duration(deadline) - time.Since(t.start); left > 0 {
+		t.timer.Reset(left)
 		return
 	}
-	s.fired.Store(true)
-	s.cancel()
+	t.fired.Store(true)
+	t.cancel()
 }
 
 // arm sets the deadline of a read that is about to start.
-func (s *readTimer) arm(timeout time.Duration) {
-	s.deadline.Store(int64(time.Since(s.start) + timeout))
+func (t *readTimer) arm(timeout time.Duration) {
+	t.deadline.Store(int64(time.Since(t.start) + timeout))
 }
 
 // disarm clears the deadline: the time that the receiver of a chunk needs does not count as read time.
-func (s *readTimer) disarm() { s.deadline.Store(0) }
+func (t *readTimer) disarm() { t.deadline.Store(0) }
 
 // shorten applies a shorter timeout immediately.
-func (s *readTimer) shorten(timeout time.Duration) {
-	s.timeout.Store(int64(timeout))
-	s.timer.Reset(timeout)
+func (t *readTimer) shorten(timeout time.Duration) {
+	t.timeout.Store(int64(timeout))
+	t.timer.Reset(timeout)
 }
 
-func (s *readTimer) stop() { s.timer.Stop() }
+func (t *readTimer) stop() { t.timer.Stop() }
 
 // classify returns backend.ErrSilent when the read timeout caused err, unless err is backend.ErrUnreachable.
-func (s *readTimer) classify(err error) error {
-	if !s.fired.Load() || errors.Is(err, backend.ErrUnreachable) {
+func (t *readTimer) classify(err error) error {
+	if !t.fired.Load() || errors.Is(err, backend.ErrUnreachable) {
 		return err
 	}
 	return fmt.Errorf("%w: %v", backend.ErrSilent, err)
