--- a/internal/adapter/servicehttp/servicehttp_test.go
+++ b/internal/adapter/servicehttp/servicehttp_test.go
@@ -37,7 +37,8 @@
 	return backend.CallRequest{Method: method, Path: "/bookings?day=3", Header: http.Header{"Idempotency-Key": {key}}, Body: []byte("deposit")}
 }
 
-// Guards against changing the key, body or path of a call, or forwarding hop-by-hop headers.
+// Guards against changing the key, body or path of a call that has hop-by-hop headers, and against changing the caller's
+// copy of the header.
 func TestCallReachesTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, s, stop := start(t, service.Options{})
