--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -2,7 +2,8 @@
 //
 // Errors. Each call ends in one of three ways, and the error class states exactly which:
 //   - The service responded. Its response states the class.
-//   - No byte of the request was written, because no connection could be opened: ErrUnavailable.
+//   - No byte of the request was written, because opening a connection failed before the call's timeout or the end of
+//     its context: ErrUnavailable.
 //   - Anything else, such as a broken connection, a timeout or a response from an intermediary between client and
 //     service: ErrOutcomeUnknown for calls that change state. A read-only call has no effect, so it always fails with
 //     ErrUnavailable.
@@ -55,7 +56,7 @@
 	List   time.Duration
 }
 
-// DefaultTimeouts are several times what a healthy service needs. Objects are up to 2 MiB; starting an instance waits
+// DefaultTimeouts are several times as long as a healthy service needs. Objects are up to 2 MiB; starting an instance waits
 // for the cloud provider.
 var DefaultTimeouts = Timeouts{
 	Dial:   500 * time.Millisecond,
@@ -148,7 +149,7 @@
 // Retries returns the total number of retries.
 func (c *Client) Retries() uint64 { return c.retries.Load() }
 
-// retryClass states whether a call may be retried.
+// retryClass states whether a call has an effect and whether it may be retried.
 type retryClass int
 
 const (
@@ -268,8 +269,8 @@
 	return fmt.Errorf("%w: %s: %w", class, c.path, err)
 }
 
-// serviceError returns the error for a failure response. Without a known failure kind, the response does not come from
-// the service itself.
+// serviceError returns the error for a failure response. A response without a known kind does not come from the service
+// itself, so the outcome is unknown, as it is for the kind api.OutcomeUnknown.
 func (c call) serviceError(status int, body []byte) error {
 	var failure api.Failure
 	if err := json.Unmarshal(body, &failure); err != nil {
--- a/internal/adapter/platformhttp/platformhttp_test.go
+++ b/internal/adapter/platformhttp/platformhttp_test.go
@@ -111,7 +111,7 @@
 			}), Timeouts{Table: 100 * time.Millisecond, Object: 100 * time.Millisecond})
 			_, err := client.Table().Commit(t.Context(), mutation)
 			assert.ErrorIs(t, err, platform.ErrOutcomeUnknown)
-			assert.Equal(t, commits.Load(), int64(1), "a commit was repeated")
+			assert.Equal(t, commits.Load(), int64(1), "a commit was retried")
 			_, err = client.Table().Get(t.Context(), "t", "k")
 			assert.ErrorIs(t, err, platform.ErrUnavailable)
 			assert.Equal(t, commits.Load(), int64(1+maxAttempts))
@@ -197,17 +197,17 @@
 func TestUnresponsiveConnections(t *testing.T) {
 	const connections = 2
 	p := standin.New(standin.Options{})
-	var silentConns sync.Map // remote addresses of the connections that stop responding
+	var unresponsiveConns sync.Map // remote addresses of the connections that stop responding
 	var barrier sync.WaitGroup
 	barrier.Add(connections)
 	var calls atomic.Int64
 	client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, silent := silentConns.Load(r.RemoteAddr); silent {
+		if _, unresponsive := unresponsiveConns.Load(r.RemoteAddr); unresponsive {
 			hang(w, r)
 			return
 		}
 		if calls.Add(1) <= connections {
-			silentConns.Store(r.RemoteAddr, true)
+			unresponsiveConns.Store(r.RemoteAddr, true)
 			barrier.Done()
 			barrier.Wait()
 		}
