--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// timeLayout has milliseconds, to tell decisions apart, and no date, which is rarely in question.
+// timeLayout has milliseconds, to tell decisions apart, and no date, which is rarely needed.
 const timeLayout = "15:04:05.000"
 
 // PrintRequest writes the attempts with cause and evidence as text.
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -53,7 +53,7 @@
 	case a.Outcome == code.DeadlineUnreachable.String():
 		l.explainOverload(&a)
 	case a.Outcome == code.NodeLeaving.String():
-		a.Cause = "the node was stopping and sent the caller to another one"
+		a.Cause = "the node was stopping and redirected the caller to another node"
 		a.Evidence = l.between(a.StartedAt.Add(-eventWindow), line.Time, func(x Line) bool {
 			return x.Node == line.Node && x.Message == logline.NodeDraining
 		})
@@ -67,8 +67,8 @@
 }
 
 func (a *Attempt) reason() string {
-	if why := fieldText(a.Fields[logline.Reason]); why != "" {
-		return why
+	if reason := fieldText(a.Fields[logline.Reason]); reason != "" {
+		return reason
 	}
 	return a.Outcome
 }
@@ -93,7 +93,7 @@
 	}
 	a.Cause = "the engines had more work than they could finish in time; no server was tried"
 	if refused > 0 {
-		a.Cause += fmt.Sprintf("; %d orders of more servers were refused in the %v before", refused, orderLookback)
+		a.Cause += fmt.Sprintf("; %d orders for more servers were refused in the %v before", refused, orderLookback)
 	}
 }
 
@@ -169,7 +169,8 @@
 	return slices.ContainsFunc(evidence, func(x Line) bool { return x.Message == logline.ServerGone })
 }
 
-// nodeState returns the last line about the configuration in force on a node and the lines about its lost dependencies.
+// nodeState returns the last line about the configuration in force on a node at a time and the lines about the
+// dependencies that were lost then.
 func (l *Log) nodeState(node string, at time.Time) []Line {
 	var config *Line
 	lost := map[string]Line{}
