--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -28,7 +28,7 @@
 	done    chan struct{}
 }
 
-// New returns a Sink that writes to out until it is closed.
+// New returns a Sink that writes to out until the Sink is closed.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go s.run()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -24,7 +24,7 @@
 	sampleAlpha = 0.015
 )
 
-// Set is the metrics of one node.
+// Set holds the metrics of one node.
 type Set struct {
 	registry gometrics.Registry
 }
@@ -115,7 +115,8 @@
 	return append(lines, fmt.Sprintf("%s_count %d", name, h.Count()), fmt.Sprintf("%s_sum %g", name, sum))
 }
 
-// Snapshot returns the counters whose names, without "pollenlug_", start with prefix.
+// Snapshot returns the counters whose names start with prefix, keyed by name. Both prefix and keys are without
+// "pollenlug_".
 func (s *Set) Snapshot(prefix string) map[string]int64 {
 	out := map[string]int64{}
 	s.registry.Each(func(name string, metric any) {
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -163,7 +163,7 @@
 	Instances []platform.Instance `json:"instances"`
 }
 
-// ReserveRequest requests permission to load a model's weights.
+// ReserveRequest requests a share of the weight store's rate to load a model's weights now.
 type ReserveRequest struct {
 	Model   string `json:"model"`
 	SizeMiB uint32 `json:"size_mib"`
