--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -211,7 +211,7 @@
 	golden.Assert(t, out.String(), "compare.golden")
 }
 
-// Guards against not reporting a node that returns to a lower version or an edit that never comes into force.
+// Guards against a report that omits a node's return to a lower version, or an edit that never comes into force.
 func TestConfigRaceDetectsVersionRegression(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &configRaceMonitor{nodes: make([]nodeConfig, 2), digests: map[uint64]string{}, firstSeen: map[uint64]time.Time{}}
--- a/internal/bench/configrace.go
+++ b/internal/bench/configrace.go
@@ -51,7 +51,7 @@
 // nodeConfig is the configuration that one node had in force.
 type nodeConfig struct {
 	version, revision uint64
-	// The transitions hold the time at which each version or revision was first seen in force.
+	// The transitions have the time at which the node first had each higher version or revision in force.
 	versionTransitions, revisionTransitions []transition
 }
 
--- a/internal/bench/do.go
+++ b/internal/bench/do.go
@@ -19,14 +19,14 @@
 	maxAttempts = 8
 	// maxResumes limits the consecutive resumes of one response without progress.
 	maxResumes = 30
-	// minBackoff and maxBackoff bound the delay before a retry when the refusal sets no longer one.
+	// minBackoff and maxBackoff bound the delay before a retry unless the refusal requests a longer one.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 	// maxRetryAfter limits the retry delay that a refusal may request.
 	maxRetryAfter = 5 * time.Second
-	// streamIdleTimeout is the time without data after which a stream counts as interrupted; entry nodes send a comment
+	// streamReadTimeout is the time without a line after which a stream counts as interrupted; entry nodes send a comment
 	// every 5 s.
-	streamIdleTimeout = 12 * time.Second
+	streamReadTimeout = 12 * time.Second
 )
 
 // connectionBroken is the name under which attempts without a response are counted among the refusals.
@@ -107,8 +107,8 @@
 	return wait, retryable(r, out.request.kind)
 }
 
-// retryable reports whether a refused request may be retried: it must not be at fault itself and, unless it is an
-// idempotent call, must not have run.
+// retryable reports whether a refused request may be retried: the request itself must not be at fault and, unless it is
+// an idempotent call, the refusal must not say that it ran. A request that may have run is retried.
 func retryable(r refusal, kind int) bool {
 	switch r.Name {
 	case "malformed_request", "body_too_large", "unknown_model", "unknown_service", "idempotency_key_required", "idempotency_key_reused",
@@ -176,20 +176,20 @@
 func (c *caller) readStream(ctx context.Context, out *outcome, res *http.Response) {
 	id := res.Header.Get("X-Request-Id")
 	out.id = id
-	failures := 0
+	resumesWithoutProgress := 0
 	for attempt := 1; ; attempt++ {
 		received := len(out.tokens)
 		if res != nil {
 			c.readEvents(ctx, out, res)
 		}
 		if out.endedAt.IsZero() && len(out.tokens) > received {
-			failures = 0
+			resumesWithoutProgress = 0
 		}
-		if !out.endedAt.IsZero() || ctx.Err() != nil || failures >= maxResumes {
+		if !out.endedAt.IsZero() || ctx.Err() != nil || resumesWithoutProgress >= maxResumes {
 			break
 		}
-		failures++
-		clock.Sleep(ctx, backoff(failures-1))
+		resumesWithoutProgress++
+		clock.Sleep(ctx, backoff(resumesWithoutProgress-1))
 		c.rec.increment(&c.rec.resumes)
 		res = c.resume(ctx, out, attempt)
 	}
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -18,7 +18,7 @@
 // maxExamples limits the descriptions of faulty responses in a report.
 const maxExamples = 20
 
-// outcome is the outcome of one request.
+// outcome is the result of one request with all its retries and resumes.
 type outcome struct {
 	request        *request
 	intendedAt     time.Time
--- a/internal/bench/stream.go
+++ b/internal/bench/stream.go
@@ -18,14 +18,14 @@
 
 // readEvents reads events until the stream ends or is interrupted.
 func (c *caller) readEvents(_ context.Context, out *outcome, res *http.Response) {
-	idleTimer := time.AfterFunc(streamIdleTimeout, func() { _ = res.Body.Close() })
-	defer idleTimer.Stop()
+	readTimer := time.AfterFunc(streamReadTimeout, func() { _ = res.Body.Close() })
+	defer readTimer.Stop()
 	defer res.Body.Close()
 	lines := bufio.NewScanner(res.Body)
 	lines.Buffer(make([]byte, 0, lineBufferBytes), maxLineBytes)
 	var event eventFields
 	for out.endedAt.IsZero() && lines.Scan() {
-		idleTimer.Reset(streamIdleTimeout)
+		readTimer.Reset(streamReadTimeout)
 		c.handleLine(out, &event, lines.Bytes())
 	}
 }
--- a/internal/bench/sweep.go
+++ b/internal/bench/sweep.go
@@ -30,7 +30,7 @@
 	sweepResponseTokens = 160
 )
 
-// Latency target of the built-in folder for 95 in 100 requests, in milliseconds.
+// Latency targets of the built-in folder at the 95th percentile, in milliseconds.
 const (
 	targetFirstMs   = 420
 	targetBetweenMs = 37
@@ -120,7 +120,8 @@
 	return &SweepRun{string(policy), percent, first, between, report}, nil
 }
 
-// sweepBackendGroup sets the number of concurrent requests of a sweep engine for the router.
+// sweepBackendGroup is a file of the operators' folder that tells the router how many requests an engine of the sweep
+// runs concurrently.
 const sweepBackendGroup = `{"backend_groups":[{"name":"assistant","override":true,"kind":"MODEL_ENGINE","checks_fencing":true,` +
 	`"instance_classes":["gpu"],"min_servers":1,"concurrency":%d}]}`
 
@@ -199,8 +200,8 @@
 	_ = table.Flush()
 }
 
-// metTarget returns "yes" if the run met the latency target and "no" otherwise. Costs are comparable only between runs
-// that met it.
+// metTarget returns "yes" if the run met both latency targets and "no" otherwise. Costs are comparable only between runs
+// that met them.
 func (r *SweepRun) metTarget() string {
 	if r.First.P95 <= targetFirstMs && r.Between.P95 <= targetBetweenMs {
 		return "yes"
