--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -65,7 +65,7 @@
 }
 
 func configCommand() *command {
-	c := newCommand("config", "Processes an operators' folder, or files of the users' platform.")
+	c := newCommand("config", "Checks an operators' folder, or files of the users' platform.")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "Merges the folder and prints the merged configuration, or each fault as file: field: reason."
 	dir, platformFiles := "", platformFiles{}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,7 +12,7 @@
 var errNoLogs = errors.New("explain: --log is missing")
 
 func explainCommand() *command {
-	c := newCommand("explain", "Reads log files of nodes and explains one request, or shows the events known to the nodes between two times. "+
+	c := newCommand("explain", "Reads log files of nodes and explains one request, or shows the state changes that the nodes logged between two times. "+
 		"Without --request it prints the timeline.")
 	attemptID, from, to, asJSON := "", "", "", false
 	var paths []string
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -59,7 +59,7 @@
 	assert.NilError(t, os.WriteFile(path, data, 0o600))
 }
 
-// deployment has the entry nodes of a deployment: one process per entry node, and one more for all stand-ins.
+// deployment has the caller addresses and processes of the entry nodes. One more process runs all stand-ins.
 type deployment struct {
 	callerAddrs []string
 	nodes       []*exec.Cmd
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -113,5 +113,5 @@
 	return c
 }
 
-// devDrainLimit bounds the drain of a development cluster, whose operator waits at the terminal.
+// devDrainTimeout bounds the drain of a development cluster, whose operator waits at the terminal.
 const devDrainTimeout = 30 * time.Second
