--- a/internal/bench/sweep.go
+++ b/internal/bench/sweep.go
@@ -200,8 +200,8 @@
 	_ = table.Flush()
 }
 
-// metTarget returns "yes" if the run met both latency targets and "no" otherwise. Costs are comparable only between runs
-// that met them.
+// metTarget returns "yes" if the run met both latency targets and "no" otherwise. Costs are comparable only between
+// runs that met them.
 func (r *SweepRun) metTarget() string {
 	if r.First.P95 <= targetFirstMs && r.Between.P95 <= targetBetweenMs {
 		return "yes"
