--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -3,8 +3,9 @@
 import "container/list"
 
 // prefixCache is the KV cache. Blocks of prompt prefixes and the private tokens of running sequences share its limit.
-// Blocks that no running sequence uses are evicted, least recently used first. Running sequences can exceed the limit
-// while their responses grow, which admission does not foresee.
+// Blocks that no running sequence uses are evicted, least recently used first. Admission keeps running sequences within
+// the limit, with two exceptions: it does not reserve memory for the growth of their responses, and it admits a request
+// to an empty batch even if imported KV caches leave too little memory.
 type prefixCache struct {
 	limit         int // tokens; 0 means no limit
 	blocks        map[uint64]*cacheBlock
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -142,7 +142,7 @@
 	mu            sync.Mutex
 	crashSignal   chan struct{} // closed by Crash
 	crashed       bool
-	frozen        chan struct{} // closed by Unfreeze; nil when not frozen
+	frozen        chan struct{} // closed by Unfreeze or Crash; nil when not frozen
 	poison        string
 	random        *rand.Rand
 	started       int64 // Unix milliseconds
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -19,7 +19,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a set of engines on an in-process network. Engine i has the address "engine-i:1".
+// fleet is a set of engines on an in-process network, so that they run in virtual time. Engine i has the address
+// "engine-i:1".
 type fleet struct {
 	t       *testing.T
 	engines []*engine.Engine
@@ -239,7 +240,7 @@
 		generated := f.engines[0].Stats().GeneratedTokens
 		assert.Assert(t, generated >= uint64(len(first)))
 		req.Attempt = 2
-		req.Resume = first[:10] // the position after the tenth token was lost
+		req.Resume = first[:10] // the progress after the tenth token was lost
 		_, _, err = f.generate(t.Context(), 1, req, 0)
 		assert.NilError(t, err)
 		assert.Equal(t, f.engines[1].Stats().RecomputedTokens, 100+generated)
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -10,8 +10,8 @@
 	"github.com/pollenlug/pollenlug/pkg/backend"
 )
 
-// maxEvents is the minimum number of cache events that a full log retains, and half of the maximum. A reader that is
-// further behind sees a gap.
+// maxEvents bounds the cache events that an event log retains: with 2*maxEvents events it drops the oldest maxEvents
+// before it adds the next one. A reader that has not read the dropped events sees a gap.
 const maxEvents = 8192
 
 // eventLog has the recent cache events in order of their sequence numbers. A lost event leaves a gap in the numbers.
@@ -54,7 +54,7 @@
 	return out
 }
 
-// loadSamplesPerLag is the number of load samples that are taken during LoadLag.
+// loadSamplesPerLag is the maximum number of load samples taken during LoadLag, apart from forced ones.
 const loadSamplesPerLag = 8
 
 // loadHistory has the recent load samples, from which delayed reports are made.
