--- a/internal/standin/netfault/netfault.go
+++ b/internal/standin/netfault/netfault.go
@@ -24,10 +24,10 @@
 	listener net.Listener
 	http     *http.Server
 	conns    map[*conn]struct{}
-	frozen   chan struct{} // closed by Unfreeze; nil when the server is not frozen
+	frozen   chan struct{} // closed by Unfreeze or Crash; nil when the server is not frozen
 	closed   bool
 
-	isFrozen atomic.Bool // true while frozen is not nil; read without the lock for each write
+	isFrozen atomic.Bool // true while frozen is not nil; read without the lock for each read and write
 }
 
 // ListenFunc opens a listener at an address.
@@ -73,7 +73,7 @@
 	return s.addr
 }
 
-// Crash closes the listener and all connections. Without a listener it does nothing.
+// Crash closes the listener, aborts all connections and ends Freeze. It can be called before Listen.
 func (s *Server) Crash() {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -227,7 +227,7 @@
 		if err != nil {
 			var timeout net.Error
 			if !errors.As(err, &timeout) || !timeout.Timeout() {
-				_ = c.Close() // releases a blocked Write; net/http ends its own pending read by a timeout
+				_ = c.Close() // releases a blocked Write; not after a timeout, by which net/http ends its own pending read
 			}
 			return n, err
 		}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -145,7 +145,7 @@
 	mu          sync.Mutex
 	crashSignal chan struct{} // closed by Crash
 	crashed     bool
-	frozen      chan struct{} // closed by Unfreeze; nil when not frozen
+	frozen      chan struct{} // closed by Unfreeze or Crash; nil when not frozen
 	random      *rand.Rand
 	dropAfter   float64
 	dropBefore  float64
@@ -251,7 +251,7 @@
 	writeJSON(w, echoOf(run))
 }
 
-// admit admits a call and chooses its faults. ok is false if too many calls are running.
+// admit counts a call as running and chooses its faults. ok is false if MaxRunning calls are already running.
 func (s *Service) admit() (dropBefore, dropAfter, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -292,7 +292,8 @@
 	s.net.Crash()
 }
 
-// Restart restarts a crashed service. It returns an error if the address is in use.
+// Restart restarts a crashed service. It returns an error if the address is in use; for a service that is running it
+// does nothing.
 func (s *Service) Restart() error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -2,8 +2,8 @@
 //
 // The only clock is package time, so that the stand-in runs in virtual time inside testing/synctest. Each random choice
 // is a hash of the seed, the client, the operation, the key and the number of this client's calls of the operation on
-// this key. A choice therefore does not depend on how goroutines that use other keys are scheduled, and a failing
-// schedule can be replayed from its seed.
+// this key. The key of List is the prefix, that of Commit the first row. A choice therefore does not depend on how
+// goroutines that use other keys are scheduled, and a failing schedule can be replayed from its seed.
 package table
 
 import (
