--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -26,7 +26,7 @@
 type CloudOptions struct {
 	// Launch starts the backend server of an instance; if it is nil, every Start is refused.
 	Launch LaunchFunc
-	// StartDelay is the time from the launch of an instance until it is live.
+	// StartDelay is the time from the end of Launch until the instance is live.
 	StartDelay time.Duration
 	// ListLag is the delay of the instance list behind the state of the cloud.
 	ListLag time.Duration
@@ -125,8 +125,8 @@
 	return c.launch(i, starting)
 }
 
-// retriedStart returns the instance of an earlier start with the same token. It waits for the launch, so that the
-// instance has its address.
+// retriedStart returns the instance of an earlier start with the same token, or ErrStartRefused if that instance has
+// stopped. It waits for the launch, so that the instance has its address.
 func (c *Cloud) retriedStart(ctx context.Context, i *instance) (platform.Instance, error) {
 	select {
 	case <-i.launched:
@@ -374,9 +374,9 @@
 	defer c.mu.Unlock()
 	cut := time.Now().Add(-c.options.ListLag)
 	out := c.snapshots[0].instances
-	for _, l := range c.snapshots {
-		if !l.takenAt.After(cut) {
-			out = l.instances
+	for _, s := range c.snapshots {
+		if !s.takenAt.After(cut) {
+			out = s.instances
 		}
 	}
 	return slices.Clone(out), nil
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -14,7 +14,7 @@
 // maxWait bounds a long poll.
 const maxWait = time.Minute
 
-// errInvalid means that a request breaks a rule of the service.
+// errInvalid means that a commit request has a mutation with an unknown condition.
 var errInvalid = errors.New("invalid request")
 
 func (p *Platform) routes() *http.ServeMux {
@@ -34,8 +34,8 @@
 	return mux
 }
 
-// route registers one call. The request's context ends when the client disconnects, which the parts treat like any
-// caller that stops waiting.
+// route registers one call. The request's context ends when the client disconnects, which every part of the
+// platform treats like a caller that stops waiting.
 func route[Request, Response any](mux *http.ServeMux, path string, call func(context.Context, Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var request Request
