--- a/internal/devcluster/faults.go
+++ b/internal/devcluster/faults.go
@@ -26,11 +26,12 @@
 	FailureDomain   string   `json:"failure_domain,omitempty"`
 	ReclaimableOnly bool     `json:"reclaimable_only,omitempty"`
 	NoticeMs        int      `json:"notice_ms,omitempty"`
-	// Refuse makes the cloud refuse starts in FailureDomain, or allow them again.
+	// Refuse makes the cloud refuse starts in FailureDomain; false allows them again. An empty FailureDomain means all.
 	Refuse bool `json:"refuse,omitempty"`
 	// Text is the poison text: an engine crashes when it runs a prompt that contains it.
 	Text string `json:"text,omitempty"`
-	// Outage is none, refusing or hanging. It and the following fields are the faults of the store.
+	// The fields from Outage to SlowMs are the faults of the store. Outage is none, refusing or hanging; the others are
+	// percentages of calls and times in milliseconds.
 	Outage       string `json:"outage,omitempty"`
 	LostPercent  int    `json:"lost_percent,omitempty"`
 	LatePercent  int    `json:"late_percent,omitempty"`
--- a/internal/devcluster/session_test.go
+++ b/internal/devcluster/session_test.go
@@ -15,7 +15,7 @@
 
 const shopToken = "shop-token"
 
-// startCluster starts a cluster with the default folder on free ports.
+// startCluster starts a cluster with the default configuration on free ports.
 func startCluster(t *testing.T) *Cluster {
 	t.Helper()
 	logger := logrus.New()
