--- a/internal/example/example_test.go
+++ b/internal/example/example_test.go
@@ -36,7 +36,7 @@
 	assert.Assert(t, service.Route("GET", "/anything").Idempotent)
 }
 
-// Guards against example configurations that do not merge or that lack settings of the two example users.
+// Guards against example configurations that do not merge or that lack a setting the two example users need.
 func TestExamples(t *testing.T) {
 	for _, c := range []struct {
 		user, service, token string
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -59,35 +59,35 @@
 			_ = client.Close()
 			continue
 		}
-		l := &proxiedConn{client: client, server: server}
+		conn := &proxiedConn{client: client, server: server}
 		p.mu.Lock()
-		p.conns[l] = true
+		p.conns[conn] = true
 		p.mu.Unlock()
-		go p.forward(l, client, server, false)
-		go p.forward(l, server, client, true)
+		go p.forward(conn, client, server, false)
+		go p.forward(conn, server, client, true)
 	}
 }
 
-func (p *proxy) forward(l *proxiedConn, from, to net.Conn, fromServer bool) {
+func (p *proxy) forward(conn *proxiedConn, from, to net.Conn, fromServer bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if d := p.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if n > 0 && !l.stalled.Load() && !(fromServer && p.dropResponses.Load()) {
+		if n > 0 && !conn.stalled.Load() && !(fromServer && p.dropResponses.Load()) {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				err = werr
 			}
 		}
 		if err != nil {
-			if err == io.EOF && l.stalled.Load() {
+			if err == io.EOF && conn.stalled.Load() {
 				return // a stalled connection does not report the close to its other end
 			}
-			_ = l.client.Close()
-			_ = l.server.Close()
+			_ = conn.client.Close()
+			_ = conn.server.Close()
 			p.mu.Lock()
-			delete(p.conns, l)
+			delete(p.conns, conn)
 			p.mu.Unlock()
 			return
 		}
@@ -97,20 +97,20 @@
 func (p *proxy) forEachConn(do func(*proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
-		do(l)
+	for conn := range p.conns {
+		do(conn)
 	}
 }
 
 func (p *proxy) reset() {
-	p.forEachConn(func(l *proxiedConn) {
-		_ = l.client.(*net.TCPConn).SetLinger(0)
-		_ = l.client.Close()
-		_ = l.server.Close()
+	p.forEachConn(func(conn *proxiedConn) {
+		_ = conn.client.(*net.TCPConn).SetLinger(0)
+		_ = conn.client.Close()
+		_ = conn.server.Close()
 	})
 }
 
-func (p *proxy) stall() { p.forEachConn(func(l *proxiedConn) { l.stalled.Store(true) }) }
+func (p *proxy) stall() { p.forEachConn(func(conn *proxiedConn) { conn.stalled.Store(true) }) }
 
 func (p *proxy) clearFaults() {
 	p.delay.Store(0)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -225,13 +225,13 @@
 		if err != nil {
 			continue
 		}
-		var answer struct {
+		var response struct {
 			Addresses []string `json:"addresses"`
 		}
-		err = json.NewDecoder(resp.Body).Decode(&answer)
+		err = json.NewDecoder(resp.Body).Decode(&response)
 		_ = resp.Body.Close()
-		if err == nil && len(answer.Addresses) > 0 {
-			return answer.Addresses[rng.IntN(len(answer.Addresses))]
+		if err == nil && len(response.Addresses) > 0 {
+			return response.Addresses[rng.IntN(len(response.Addresses))]
 		}
 	}
 	return ""
@@ -306,7 +306,8 @@
 	return b.String()
 }
 
-// checkGuarantees compares the responses that callers received with the runs on the servers.
+// checkGuarantees compares the responses that callers received with the runs on the servers. It also checks that every
+// report of a usage window has the same counts and that the fencing tokens of reports never decrease.
 func (c *callers) checkGuarantees(t *testing.T) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -130,7 +130,7 @@
 	assert.NilError(env.t, err)
 	var seeds []string
 	for _, other := range env.nodes {
-		seeds = append(seeds, other.registryAddr) // deliberately wrong: the registry port instead of the control plane port
+		seeds = append(seeds, other.registryAddr) // deliberately stale: nothing serves the control plane at the registry port
 	}
 	boot := map[string]any{"node_name": p.name, "ip": "127.0.0.1", "zone": "domain-a", "region": "r",
 		"listen":         map[string]string{"frontend": addrs[0], "ready": addrs[1], "control_plane": addrs[2], "registry": addrs[3]},
