--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -248,7 +248,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, api.MaxBodyBytes+1))
 	if err != nil || len(data) > api.MaxBodyBytes {
-		return call.transportError(ctx, true, errors.Join(err, errors.New("response body is incomplete or too large")))
+		return call.transportError(ctx, true, errors.Join(err, errors.New("the answer is incomplete")))
 	}
 	if resp.StatusCode != http.StatusOK {
 		return call.serviceError(resp.StatusCode, data)
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -37,7 +37,7 @@
 )
 
 // errUnknownNode means that the recipient of a message is not in this node's membership view.
-var errUnknownNode = merry.New("node is not a known member")
+var errUnknownNode = merry.New("node is not a live member")
 
 // cluster is a node's connection to the other nodes: membership, gossip and requests to peers.
 type cluster struct {
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -169,5 +169,5 @@
 	if leaf.Subject.CommonName == from || slices.Contains(leaf.DNSNames, from) {
 		return nil
 	}
-	return fmt.Errorf("%w: certificate of %q is not valid for sender %q", ErrPeerRefused, leaf.Subject.CommonName, from)
+	return fmt.Errorf("%w: certificate of %q claims to be %q", ErrPeerRefused, leaf.Subject.CommonName, from)
 }
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
 	if snapshot.Merged == nil {
-		return nil, errors.New("decode snapshot: configuration is missing")
+		return nil, errors.New("decode snapshot: it holds no configuration")
 	}
 	return snapshot, nil
 }
--- a/pkg/configstore/accept.go
+++ b/pkg/configstore/accept.go
@@ -30,7 +30,7 @@
 		return fmt.Errorf("read folder: %w", err)
 	}
 	if state.Revision == 0 {
-		return errors.New("read folder: revision is missing")
+		return errors.New("read folder: it has no revision")
 	}
 	if !s.isNew(state.Revision) {
 		return nil
@@ -119,7 +119,7 @@
 			return err
 		}
 	}
-	return errors.New("other nodes replaced the row on every attempt")
+	return errors.New("other readers replaced the row at each try")
 }
 
 // writeRow replaces the row if it is still the one that was read. A write with an unknown outcome is retried with the
--- a/pkg/configstore/fetch.go
+++ b/pkg/configstore/fetch.go
@@ -23,7 +23,7 @@
 	maxFetchAttempts = 8
 )
 
-var errNotFetched = errors.New("snapshot could not be fetched from a peer or the object store")
+var errNotFetched = errors.New("no peer and no object has the snapshot")
 
 // HandleAnnouncement records a version that a peer has announced. Run fetches it from that peer, from other peers or
 // from the object store. HandleAnnouncement does not wait for the fetch, and repeated announcements are harmless.
@@ -122,7 +122,7 @@
 		return nil
 	}
 	if len(state.Snapshot) > config.MaxSnapshotBytes {
-		return fmt.Errorf("%w: %d bytes are more than a snapshot may have", errMismatch, len(state.Snapshot))
+		return fmt.Errorf("%w: it has %d bytes", errMismatch, len(state.Snapshot))
 	}
 	if state.Version == want.GetVersion() && state.Digest != want.GetDigest() {
 		return fmt.Errorf("%w: version %d has digest %s instead of %s", errMismatch, state.Version, state.Digest, want.GetDigest())
