--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -83,7 +83,7 @@
 	Kind    platform.InstanceKind
 	Classes []Class
 	Models  []Model
-	// ChecksFencing means that the servers check fencing numbers and so refuse late orders. Only such servers get orders
+	// ChecksFencing means that the servers check fencing tokens and so refuse late orders. Only such servers get orders
 	// to unload a model, since a late one could do harm.
 	ChecksFencing bool
 	// Concurrency is the number of requests that a server runs at a time; 0 means unknown.
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease grants leases with fencing numbers, stored in the table service.
+// Package lease grants leases with fencing tokens, stored in the table service.
 //
 // A lease is one row, which is acquired and renewed by conditional writes and never deleted, so that its fencing
-// number increases with each holder. The holder's deadline is the time right before it sent its last confirmed write,
+// token increases with each holder. The holder's deadline is the time right before it sent its last confirmed write,
 // plus the duration. A successor waits for the duration stored in the row, counted from its first read of the current
 // version, plus the longest time of an order (an operation that the lease protects). Then it writes under the condition
 // that the version is unchanged. Since a row cannot be read before its write was sent, the holder's deadline has passed
@@ -114,7 +114,7 @@
 	version uint64
 	row     *pb.LeaseRow
 	seenAt  time.Time
-	// firstSentAt is when the first write with the fencing number was sent.
+	// firstSentAt is when the first write with the fencing token was sent.
 	firstSentAt time.Time
 	fencing     uint64
 }
@@ -246,7 +246,7 @@
 	renewal uint64
 }
 
-// Check reports whether the lease is valid now. Call it right before each order and send the fencing number with the
+// Check reports whether the lease is valid now. Call it right before each order and send the fencing token with the
 // order.
 func (h *Held) Check() (fencing uint64, ok bool) {
 	now := h.l.o.Now()
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -179,7 +179,7 @@
 		}
 	}
 	if isValid(h) && h.fencing <= m.highest {
-		m.err = fmt.Errorf("fencing number %d granted after %d", h.fencing, m.highest)
+		m.err = fmt.Errorf("fencing token %d granted after %d", h.fencing, m.highest)
 	}
 	m.highest = max(m.highest, h.fencing)
 	m.held = append(m.held, h)
@@ -271,7 +271,7 @@
 	return m.count(), err
 }
 
-// Guards against any order of store faults and pauses that gives the lease to two holders at once, or a fencing number
+// Guards against any order of store faults and pauses that gives the lease to two holders at once, or a fencing token
 // that does not increase.
 func TestRandomSchedules(t *testing.T) {
 	grants := 0
