--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -390,7 +390,7 @@
 	case <-n.killed:
 		return nil
 	}
-	n.cluster.view.Left()
+	n.cluster.view.AnnounceLeft()
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = n.server.Shutdown(shutdownCtx)
--- a/pkg/claim/attempt.go
+++ b/pkg/claim/attempt.go
@@ -247,7 +247,7 @@
 	return decision{kind: resolved, err: errKeyReused()}
 }
 
-// resolveDispatched asks the node that holds a DISPATCHED row for its outcome, then the service.
+// resolveDispatched queries the node that holds a DISPATCHED row for its outcome, then the service.
 func (c *Claims) resolveDispatched(ctx context.Context, st *claimState, version uint64, row *pb.ClaimRow) decision {
 	call := st.call
 	switch state := c.queryHolder(ctx, call, row); state.GetState() {
@@ -291,12 +291,12 @@
 	return out, found && err == nil
 }
 
-// endUnsent answers the callers of an attempt that will not be sent.
+// endUnsent returns the error to the callers of an attempt that will not be sent.
 func (c *Claims) endUnsent(st *claimState, d decision) *backgroundWrite {
 	e := st.e
 	s := c.shard(e.key)
 	s.mu.Lock()
-	s.answer(e, d.outcome, d.err)
+	s.setResult(e, d.outcome, d.err)
 	s.abandon(e, d.err)
 	if !st.written {
 		// No row can name the attempt, so no node will query it.
@@ -345,7 +345,7 @@
 	c.withLock(e, func(s *shard) {
 		e.phase = failed
 		s.remove(e)
-		s.answer(e, Outcome{}, c.errUnknown("the call may have run", err))
+		s.setResult(e, Outcome{}, c.errUnknown("the call may have run", err))
 	})
 	return nil
 }
@@ -367,12 +367,12 @@
 	return code.Wrap(code.NoBackendServer, code.RanNo, "the call could not be sent", err)
 }
 
-// completeAttempt answers the callers and returns the background write of the outcome.
+// completeAttempt returns the outcome to the callers and returns the background write of the outcome.
 func (c *Claims) completeAttempt(e *entry, version uint64, out Outcome) *backgroundWrite {
 	c.withLock(e, func(s *shard) {
 		e.phase = finished
 		e.outcome = out
-		s.answer(e, out, nil)
+		s.setResult(e, out, nil)
 	})
 	return c.outcomeWrite(e, version, out)
 }
--- a/pkg/claim/background.go
+++ b/pkg/claim/background.go
@@ -11,13 +11,13 @@
 	"github.com/pollenlug/pollenlug/pkg/platform"
 )
 
-// Backoff between two tries of a background write.
+// Backoff between two attempts of a background write.
 const (
 	minWriteBackoff = 100 * time.Millisecond
 	maxWriteBackoff = 5 * time.Second
 )
 
-// maxWriteConflicts bounds the tries of a background write whose condition fails while reads do not show why. At
+// maxWriteConflicts bounds the attempts of a background write whose condition fails while reads do not show why. At
 // maxWriteBackoff they take several times longer than reads stay stale.
 const maxWriteConflicts = 12
 
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -19,7 +19,7 @@
 // that may still send.
 //
 // When another attempt of the same request may have run, the caller never gets ran:"no". It gets the outcome from the
-// row, from the node that holds the attempt or from the service, or else ran:"unknown". Only a positive answer of the
+// row, from the node that holds the attempt or from the service, or else ran:"unknown". Only a positive reply of the
 // service counts, because the call can still reach the service after the query.
 //
 // # Retention
@@ -100,7 +100,7 @@
 	NothingSent
 )
 
-// Send performs the call. The attempt id is passed on for the service's own records. Send may try several servers as
+// Send performs the call. The attempt id is forwarded for the service's own records. Send may try several servers as
 // long as nothing was sent to the earlier ones. Its context is not cancelled with the caller's. Sent is used only when
 // the error is not nil.
 type Send func(ctx context.Context, attempt string) (Outcome, Sent, error)
@@ -239,7 +239,7 @@
 		go c.run(context.WithoutCancel(ctx), e, call, send)
 	}
 	select {
-	case <-e.answered:
+	case <-e.done:
 		return e.result()
 	case <-ctx.Done():
 		return c.leave(ctx, e)
@@ -267,7 +267,7 @@
 	if !c.open.tryAdd(c.o.MaxOpen) {
 		return nil, false, code.New(code.ClaimStoreUnavailable, "too many calls wait for the table service").WithRetryAfter(c.o.RetryAfter)
 	}
-	e = &entry{key: key, attempt: c.o.ID(), digest: call.Digest, waiters: 1, answered: make(chan struct{})}
+	e = &entry{key: key, attempt: c.o.ID(), digest: call.Digest, waiters: 1, done: make(chan struct{})}
 	s.entries[key] = e
 	return e, true, nil
 }
@@ -277,7 +277,7 @@
 	s := c.shard(e.key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.isAnswered() {
+	if e.isDone() {
 		return e.result()
 	}
 	e.waiters--
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -208,7 +208,7 @@
 	})
 }
 
-// Guards against a second run, or ran:"no", after the holder died with the call dispatched. Only a positive answer of
+// Guards against a second run, or ran:"no", after the holder died with the call dispatched. Only a positive reply of
 // the service may resolve the unknown outcome.
 func TestNodeDeathAfterDispatch(t *testing.T) {
 	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
@@ -228,7 +228,7 @@
 	})
 }
 
-// Guards against ran:"no" after a send whose response was lost, and against using a negative answer of the service
+// Guards against ran:"no" after a send whose response was lost, and against using a negative reply of the service
 // although the call may still arrive.
 func TestUnknownAfterSend(t *testing.T) {
 	withTwoNodes(t, func(t *testing.T, c *cluster, a, b *testNode) {
--- a/pkg/claim/state.go
+++ b/pkg/claim/state.go
@@ -34,13 +34,13 @@
 	otherMayHaveRun bool
 	outcome         Outcome
 	err             *code.Error
-	// answered is closed when outcome or err is set.
-	answered chan struct{}
+	// done is closed when outcome or err is set.
+	done chan struct{}
 }
 
-func (e *entry) isAnswered() bool {
+func (e *entry) isDone() bool {
 	select {
-	case <-e.answered:
+	case <-e.done:
 		return true
 	default:
 		return false
@@ -80,13 +80,13 @@
 	}
 }
 
-func (s *shard) answer(e *entry, outcome Outcome, err *code.Error) {
-	if e.isAnswered() {
+func (s *shard) setResult(e *entry, outcome Outcome, err *code.Error) {
+	if e.isDone() {
 		return
 	}
 	e.outcome = outcome
 	e.err = err
-	close(e.answered)
+	close(e.done)
 }
 
 // abandon ends an attempt that was not sent, so that it never will be.
@@ -94,7 +94,7 @@
 	e.phase = failed
 	s.abandoned[e.attempt] = struct{}{}
 	s.remove(e)
-	s.answer(e, Outcome{}, refusal)
+	s.setResult(e, Outcome{}, refusal)
 }
 
 func (s *shard) keep(item keptItem) {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -47,7 +47,7 @@
 	// that the requester waits for the peer's result.
 	requestedProbeTimeout = 400 * time.Millisecond
 	indirectTimeout       = 800 * time.Millisecond
-	// indirectProbers is the number of peers asked for an indirect probe after a probe timed out.
+	// indirectProbers is the number of peers that get an indirect probe request after a probe timed out.
 	indirectProbers = 2
 	// anyNodeEvery sets the share of probes that go to any node instead of one of the gossip view: on average one in
 	// anyNodeEvery. Such a probe costs a handshake.
@@ -126,8 +126,8 @@
 	// domainSuspected marks a probe sent because of a suspicion in the target's failure domain. It does not count for
 	// self-suspicion, because many such probes fail when a domain is lost.
 	domainSuspected bool
-	// asked lists the peers that were asked for an indirect probe.
-	asked []string
+	// probers lists the peers to which an indirect probe request was sent.
+	probers []string
 	// requester and requestNumber identify the request of another node for which this indirect probe is sent.
 	requester     string
 	requestNumber uint64
@@ -229,8 +229,8 @@
 // Leave announces that the node takes no new work. The next Tick sends the announcement.
 func (c *Core) Leave() { c.setStatus(pb.MemberState_LEAVING) }
 
-// Left announces that the process ends. The next Tick sends the announcement.
-func (c *Core) Left() { c.setStatus(pb.MemberState_LEFT) }
+// AnnounceLeft announces that the process ends. The next Tick sends the announcement.
+func (c *Core) AnnounceLeft() { c.setStatus(pb.MemberState_LEFT) }
 
 func (c *Core) setStatus(status pb.MemberState_Status) {
 	c.mu.Lock()
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -112,7 +112,7 @@
 	return c.probe(now, request.Target, probe{requester: from, requestNumber: request.Number})
 }
 
-// handleAck handles a reply of the target itself or of a peer that was asked for an indirect probe.
+// handleAck handles a reply of the target itself or of an indirect prober.
 func (c *Core) handleAck(now time.Time, from string, ack *pb.ProbeAck) []gossip.Message {
 	p := c.probes[ack.Number]
 	if p == nil {
@@ -128,7 +128,7 @@
 		if r := c.records[from]; p.indirectSent.IsZero() && !p.domainSuspected && r != nil && r.Region == c.cfg.Region {
 			c.recordResult(true)
 		}
-	case !slices.Contains(p.asked, from):
+	case !slices.Contains(p.probers, from):
 	case ack.Reached:
 		delete(c.probes, ack.Number)
 	default:
@@ -186,7 +186,7 @@
 	p.indirectSent = now
 	var out []gossip.Message
 	for _, prober := range c.pickIndirectProbers(p.target) {
-		p.asked = append(p.asked, prober.Node)
+		p.probers = append(p.probers, prober.Node)
 		out = append(out, gossip.Message{To: peerOf(prober), Env: &pb.Envelope{Body: &pb.Envelope_ProbeRequest{
 			ProbeRequest: &pb.ProbeRequest{Number: number, Target: p.target}}}})
 	}
--- a/pkg/membership/runner.go
+++ b/pkg/membership/runner.go
@@ -77,9 +77,9 @@
 	r.send(r.Core.Tick(time.Now()))
 }
 
-// Left announces at once that the process ends.
-func (r *Runner) Left() {
-	r.Core.Left()
+// AnnounceLeft announces at once that the process ends.
+func (r *Runner) AnnounceLeft() {
+	r.Core.AnnounceLeft()
 	r.send(r.Core.Tick(time.Now()))
 }
 
