--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -58,7 +58,7 @@
 // Strikes tracks the requests that crash servers; see generate.Strikes.
 type Strikes interface {
 	State(digest string) (state strike.State, wait time.Duration)
-	Begin(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
+	TryStart(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
 }
 
 // Options are the dependencies of a Dispatcher.
@@ -244,7 +244,7 @@
 			if err != nil {
 				return nil, code.Wrap(code.NoBackendServer, code.RanNo, "no backend server can take the call", err).WithRetryAfter(retryAfter)
 			}
-			if end, ok := d.Strikes.Begin(pick.Server, content); ok {
+			if end, ok := d.Strikes.TryStart(pick.Server, content); ok {
 				return &serverCall{d, pick, end}, nil
 			}
 			pick.Done(route.Result{Outcome: route.Cancelled})
--- a/internal/generate/attempt.go
+++ b/internal/generate/attempt.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	end, ok := r.Strikes.Begin(pick.Server, run.digest)
+	end, ok := r.Strikes.TryStart(pick.Server, run.digest)
 	if !ok {
 		pick.Done(route.Result{Outcome: route.Cancelled})
 		return errHeld
--- a/internal/generate/runner.go
+++ b/internal/generate/runner.go
@@ -82,8 +82,8 @@
 type Strikes interface {
 	// State returns how a request may run now and, if it is held, how long until the decision.
 	State(digest string) (state strike.State, wait time.Duration)
-	// Begin counts a run on a server. If ok is false, the request must not run now; otherwise end must be called once.
-	Begin(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
+	// TryStart counts a run on a server. If ok is false, the request must not run now; otherwise end must be called once.
+	TryStart(server *route.Server, digest string) (end func(strike.Outcome), ok bool)
 }
 
 // ServerLimits adapts the number of requests in flight on each server.
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -96,8 +96,8 @@
 	return g.strikes.State(digest, time.Now())
 }
 
-// Begin implements generate.Strikes. If the connection breaks during the run, the server is probed for a crash.
-func (g *guard) Begin(server *route.Server, digest string) (func(strike.Outcome), bool) {
+// TryStart implements generate.Strikes. If the connection breaks during the run, the server is probed for a crash.
+func (g *guard) TryStart(server *route.Server, digest string) (func(strike.Outcome), bool) {
 	run, ok := g.strikes.TryStart(server.ID, digest, time.Now())
 	if !ok {
 		return nil, false
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -150,7 +150,7 @@
 func (unlimited) Observe(string, time.Duration)              {}
 func (unlimited) Release(string)                             {}
 func (unlimited) State(string) (strike.State, time.Duration) { return strike.Clear, 0 }
-func (unlimited) Begin(*route.Server, string) (func(strike.Outcome), bool) {
+func (unlimited) TryStart(*route.Server, string) (func(strike.Outcome), bool) {
 	return func(strike.Outcome) {}, true
 }
 
