--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -59,17 +59,17 @@
 
 // handleHeartbeat applies the server changes in a heartbeat and fetches the views of which the peer has a newer
 // version.
-func (f *fetcher) handleHeartbeat(beat *pb.PeerBeat, now time.Time) {
-	if beat.ConfigVersion > f.config.Version() {
-		f.fetch(beat.ControlAddr, pathConfig, func(data []byte) error { return f.config.accept(data, beat.Node) })
+func (f *fetcher) handleHeartbeat(heartbeat *pb.PeerBeat, now time.Time) {
+	if heartbeat.ConfigVersion > f.config.Version() {
+		f.fetch(heartbeat.ControlAddr, pathConfig, func(data []byte) error { return f.config.accept(data, heartbeat.Node) })
 	}
-	if beat.Changes != nil {
-		if err := f.servers.merge(beat.Changes, now); err != nil {
-			f.log.WithError(err).WithField("peer", beat.Node).Debug("applying server changes failed; the whole view is needed")
+	if heartbeat.Changes != nil {
+		if err := f.servers.merge(heartbeat.Changes, now); err != nil {
+			f.log.WithError(err).WithField("peer", heartbeat.Node).Debug("applying server changes failed; the whole view is needed")
 		}
 	}
-	if f.servers.observePeer(beat.Servers, now) {
-		f.fetchServers(beat.ControlAddr)
+	if f.servers.observePeer(heartbeat.Servers, now) {
+		f.fetchServers(heartbeat.ControlAddr)
 	}
 }
 
--- a/internal/edge/heartbeats.go
+++ b/internal/edge/heartbeats.go
@@ -47,21 +47,21 @@
 }
 
 // handleHeartbeat applies a heartbeat received from another node.
-func (n *Node) handleHeartbeat(beat *pb.PeerBeat, now time.Time) {
-	if beat.NewsOnly {
-		n.fetcher.handleHeartbeat(beat, now)
+func (n *Node) handleHeartbeat(heartbeat *pb.PeerBeat, now time.Time) {
+	if heartbeat.NewsOnly {
+		n.fetcher.handleHeartbeat(heartbeat, now)
 		return
 	}
-	name := incarnation(beat.Node, beat.Started)
-	n.board.SetPeer(beat.Node, n.serverLoads(beat), now)
-	n.quota.ApplyReport(name, n.workspaceUses(beat), now)
-	windows := make([]usage.Window, 0, len(beat.Usage))
-	for _, w := range beat.Usage {
+	name := incarnation(heartbeat.Node, heartbeat.Started)
+	n.board.SetPeer(heartbeat.Node, n.serverLoads(heartbeat), now)
+	n.quota.ApplyReport(name, n.workspaceUses(heartbeat), now)
+	windows := make([]usage.Window, 0, len(heartbeat.Usage))
+	for _, w := range heartbeat.Usage {
 		windows = append(windows, usage.Window{Number: w.Number, Counts: w.Counts})
 	}
 	n.usage.Merge(name, windows)
-	n.crashes.merge(beat.Crashes, now)
-	n.fetcher.handleHeartbeat(beat, now)
+	n.crashes.merge(heartbeat.Crashes, now)
+	n.fetcher.handleHeartbeat(heartbeat, now)
 }
 
 func (n *Node) peerRestarted(node string, started int64) {
@@ -70,15 +70,15 @@
 }
 
 // workspaceUses maps the workspace hashes of a heartbeat to workspace names; unknown workspaces are skipped.
-func (n *Node) workspaceUses(beat *pb.PeerBeat) []quota.Use {
+func (n *Node) workspaceUses(heartbeat *pb.PeerBeat) []quota.Use {
 	c := n.config.Load()
 	if c == nil {
 		return nil
 	}
-	uses := make([]quota.Use, 0, len(beat.Uses))
+	uses := make([]quota.Use, 0, len(heartbeat.Uses))
 	for _, w := range c.Workspaces {
 		hash := nameHash(w.Name)
-		for _, u := range beat.Uses {
+		for _, u := range heartbeat.Uses {
 			if u.Workspace == hash {
 				uses = append(uses, quota.Use{Workspace: w.Name, Total: float64(u.Total), Level: float64(u.Level)})
 			}
@@ -88,10 +88,10 @@
 }
 
 // serverLoads maps the server hashes of a heartbeat to server ids; unknown servers are skipped.
-func (n *Node) serverLoads(beat *pb.PeerBeat) map[string]placement.Load {
+func (n *Node) serverLoads(heartbeat *pb.PeerBeat) map[string]placement.Load {
 	ids := n.board.IDsByHash(nameHash)
-	loads := make(map[string]placement.Load, len(beat.Loads))
-	for _, l := range beat.Loads {
+	loads := make(map[string]placement.Load, len(heartbeat.Loads))
+	for _, l := range heartbeat.Loads {
 		if id, ok := ids[l.Server]; ok {
 			loads[id] = placement.Load{Running: float64(l.Running), Prefill: float64(l.PrefillTokens), Failures: float64(l.Failures) / 10}
 		}
@@ -110,8 +110,8 @@
 	for clock.Sleep(ctx, unreportedInterval) {
 		now := time.Now()
 		requests := map[string]float64{}
-		for _, beat := range n.peers.alive(now) {
-			for _, d := range beat.Demand {
+		for _, heartbeat := range n.peers.alive(now) {
+			for _, d := range heartbeat.Demand {
 				requests[d.Service] += float64(d.Requests)
 			}
 		}
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -102,8 +102,8 @@
 // engineLoad returns the work of all nodes for a service, in fully used engines.
 func (n *Node) engineLoad(service string, now time.Time) float64 {
 	demands := n.demand.export(now)
-	for _, beat := range n.peers.alive(now) {
-		demands = append(demands, beat.Demand...)
+	for _, heartbeat := range n.peers.alive(now) {
+		demands = append(demands, heartbeat.Demand...)
 	}
 	load := 0.0
 	for _, d := range demands {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -61,7 +61,7 @@
 	composeUrgent func(now time.Time) *pb.PeerBeat
 	// usageWindows builds the part that is sent to usage receivers only.
 	usageWindows func(now time.Time) []*pb.UsageWindow
-	received     func(beat *pb.PeerBeat, now time.Time)
+	received     func(heartbeat *pb.PeerBeat, now time.Time)
 	restarted    func(node string, started int64)
 	started      int64
 
@@ -199,57 +199,57 @@
 			}
 			return
 		}
-		beat := &pb.PeerBeat{}
-		if err := proto.Unmarshal(buffer[:n], beat); err != nil || beat.Node == "" {
+		heartbeat := &pb.PeerBeat{}
+		if err := proto.Unmarshal(buffer[:n], heartbeat); err != nil || heartbeat.Node == "" {
 			p.log.WithError(err).WithField("from", from).Warning("decoding datagram failed")
 			continue
 		}
-		p.handleHeartbeat(beat, time.Now())
+		p.handleHeartbeat(heartbeat, time.Now())
 	}
 }
 
 // handleHeartbeat records a heartbeat and calls received with it, unless it is from an earlier incarnation of its node
 // or is an urgent one that arrives before the first full one of its incarnation.
-func (p *peers) handleHeartbeat(beat *pb.PeerBeat, now time.Time) {
-	if beat.Node == p.self {
+func (p *peers) handleHeartbeat(heartbeat *pb.PeerBeat, now time.Time) {
+	if heartbeat.Node == p.self {
 		return
 	}
 	p.mu.Lock()
-	n := p.nodes[beat.Node]
+	n := p.nodes[heartbeat.Node]
 	if n == nil {
 		n = &peerNode{addedAt: now}
-		p.nodes[beat.Node] = n
+		p.nodes[heartbeat.Node] = n
 	}
 	previous := n.lastHeartbeat
-	if beat.NewsOnly && (previous == nil || previous.Started != beat.Started) {
+	if heartbeat.NewsOnly && (previous == nil || previous.Started != heartbeat.Started) {
 		p.mu.Unlock()
 		return // the full heartbeat follows soon
 	}
 	// Heartbeats of the previous incarnation may still arrive for a short time. After that, an earlier start time means
 	// that the node's clock was set back.
-	if previous != nil && beat.Started < previous.Started && now.Sub(n.receivedAt) < p.aliveTimeout() {
+	if previous != nil && heartbeat.Started < previous.Started && now.Sub(n.receivedAt) < p.aliveTimeout() {
 		p.mu.Unlock()
 		return
 	}
-	appeared := previous == nil || now.Sub(n.receivedAt) > p.aliveTimeout() || previous.Started != beat.Started
-	n.receivedAt, n.addr = now, beat.PeerAddr
-	if !beat.NewsOnly {
-		n.lastHeartbeat = beat
+	appeared := previous == nil || now.Sub(n.receivedAt) > p.aliveTimeout() || previous.Started != heartbeat.Started
+	n.receivedAt, n.addr = now, heartbeat.PeerAddr
+	if !heartbeat.NewsOnly {
+		n.lastHeartbeat = heartbeat
 	}
 	for name, seed := range p.nodes {
-		if seed.lastHeartbeat == nil && seed.addr == beat.PeerAddr && name != beat.Node {
+		if seed.lastHeartbeat == nil && seed.addr == heartbeat.PeerAddr && name != heartbeat.Node {
 			n.rowVersion = max(n.rowVersion, seed.rowVersion)
 			delete(p.nodes, name)
 		}
 	}
 	p.mu.Unlock()
-	if previous != nil && previous.Started != beat.Started {
-		p.restarted(beat.Node, previous.Started)
+	if previous != nil && previous.Started != heartbeat.Started {
+		p.restarted(heartbeat.Node, previous.Started)
 	}
 	if appeared {
-		p.log.WithFields(logrus.Fields{"peer": beat.Node, "started": beat.Started}).Info(logline.NodeDiscovered)
+		p.log.WithFields(logrus.Fields{"peer": heartbeat.Node, "started": heartbeat.Started}).Info(logline.NodeDiscovered)
 	}
-	p.received(beat, now)
+	p.received(heartbeat, now)
 }
 
 // incarnation identifies one incarnation of a node, that is one run of its process, so that counters of a restarted
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -143,10 +143,10 @@
 		}
 		p.write = func(data []byte, _ netip.AddrPort) {
 			sent++
-			beat := &pb.PeerBeat{}
-			assert.NilError(t, proto.Unmarshal(data, beat))
+			heartbeat := &pb.PeerBeat{}
+			assert.NilError(t, proto.Unmarshal(data, heartbeat))
 			passed := time.Since(begin).Milliseconds()
-			assert.Assert(t, int64(beat.Servers.AgeMs) >= 100+passed, "%d ms after %d ms", beat.Servers.AgeMs, passed)
+			assert.Assert(t, int64(heartbeat.Servers.AgeMs) >= 100+passed, "%d ms after %d ms", heartbeat.Servers.AgeMs, passed)
 		}
 		for i := range 85 {
 			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), addedAt: begin.Add(-time.Minute), rowVersion: 1}
--- a/internal/edge/peersend.go
+++ b/internal/edge/peersend.go
@@ -66,9 +66,9 @@
 // send sends this node's heartbeat to all others.
 func (p *peers) send(ctx context.Context) {
 	now := time.Now()
-	beat := p.compose(now)
-	regular, withUsage := newPacedHeartbeat(p, beat, now), newPacedHeartbeat(p, proto.CloneOf(beat), now)
-	withUsage.beat.Usage = p.usageWindows(now)
+	heartbeat := p.compose(now)
+	regular, withUsage := newPacedHeartbeat(p, heartbeat, now), newPacedHeartbeat(p, proto.CloneOf(heartbeat), now)
+	withUsage.heartbeat.Usage = p.usageWindows(now)
 	receivers := p.usageReceivers(now)
 	p.pace(ctx, p.targets(now), func(addr string) []byte {
 		for p.sendingUrgent.Load() && clock.Sleep(ctx, pacePause) {
@@ -94,7 +94,7 @@
 // would read the store again.
 type pacedHeartbeat struct {
 	p          *peers
-	beat       *pb.PeerBeat
+	heartbeat  *pb.PeerBeat
 	composed   time.Time
 	serversAge uint32 // of the view of servers when the heartbeat was composed, in ms
 	changesAge uint32
@@ -102,9 +102,9 @@
 	data       []byte
 }
 
-func newPacedHeartbeat(p *peers, beat *pb.PeerBeat, now time.Time) *pacedHeartbeat {
-	return &pacedHeartbeat{p: p, beat: beat, composed: now,
-		serversAge: beat.GetServers().GetAgeMs(), changesAge: beat.GetChanges().GetAgeMs()}
+func newPacedHeartbeat(p *peers, heartbeat *pb.PeerBeat, now time.Time) *pacedHeartbeat {
+	return &pacedHeartbeat{p: p, heartbeat: heartbeat, composed: now,
+		serversAge: heartbeat.GetServers().GetAgeMs(), changesAge: heartbeat.GetChanges().GetAgeMs()}
 }
 
 // datagram returns the heartbeat encoded with the ages as of now, or nil if it cannot be encoded.
@@ -113,19 +113,19 @@
 		return b.data
 	}
 	elapsed := uint32(now.Sub(b.composed).Milliseconds())
-	if b.beat.Servers != nil {
-		b.beat.Servers.AgeMs = b.serversAge + elapsed
+	if b.heartbeat.Servers != nil {
+		b.heartbeat.Servers.AgeMs = b.serversAge + elapsed
 	}
-	if b.beat.Changes != nil {
-		b.beat.Changes.AgeMs = b.changesAge + elapsed
+	if b.heartbeat.Changes != nil {
+		b.heartbeat.Changes.AgeMs = b.changesAge + elapsed
 	}
-	b.data, b.encoded = b.p.encode(b.beat), now
+	b.data, b.encoded = b.p.encode(b.heartbeat), now
 	return b.data
 }
 
 // encode returns the datagram of a heartbeat, or nil if it cannot be sent.
-func (p *peers) encode(beat *pb.PeerBeat) []byte {
-	data, err := proto.Marshal(beat)
+func (p *peers) encode(heartbeat *pb.PeerBeat) []byte {
+	data, err := proto.Marshal(heartbeat)
 	if err != nil || len(data) > maxDatagram {
 		p.log.WithError(err).WithField("bytes", len(data)).Error("heartbeat cannot be sent")
 		return nil
--- a/internal/edge/viewchanges_test.go
+++ b/internal/edge/viewchanges_test.go
@@ -95,10 +95,10 @@
 	assert.NilError(t, reader.read(t.Context()))
 	assert.Equal(t, notified, 1)
 
-	beat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.heartbeatChanges(minHeartbeatInterval, time.Now())}
-	assert.Assert(t, proto.Size(beat.Changes) < 200)
+	heartbeat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.heartbeatChanges(minHeartbeatInterval, time.Now())}
+	assert.Assert(t, proto.Size(heartbeat.Changes) < 200)
 	f := newFetcher(&configView{}, other, other.log)
-	f.handleHeartbeat(beat, time.Now())
+	f.handleHeartbeat(heartbeat, time.Now())
 	assert.DeepEqual(t, other.states(), reader.states())
 	assert.Assert(t, reader.heartbeatChanges(minHeartbeatInterval, time.Now().Add(time.Minute)) == nil, "changes are sent forever")
 }
