--- a/internal/adapter/platformhttp/calls.go
+++ b/internal/adapter/platformhttp/calls.go
@@ -129,9 +129,9 @@
 	return prices.Prices, err
 }
 
-// Notices implements platform.Cloud. The service is told to wait slightly less than the time left until the context's
-// deadline, so that an empty response arrives in time; having no notices is not an error. A failed poll is not retried
-// here, because the caller polls in a loop.
+// Notices implements platform.Cloud. The wait time sent to the service is slightly less than the time left until the
+// context's deadline, so that an empty response arrives in time; having no notices is not an error. A failed poll is not
+// retried here, because the caller polls in a loop.
 func (o Cloud) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
 	wait := noticeWait
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// fetchTimeout limits one fetch from a peer. fetchRetryDelay is the delay after a failed fetch before the same peer
-	// is asked for the same view again.
+	// fetchTimeout limits one fetch from a peer. fetchRetryDelay is the delay after a failed fetch before the same view
+	// is fetched from the same peer again.
 	fetchTimeout    = time.Second
 	fetchRetryDelay = 100 * time.Millisecond
 	// maxFetches limits the concurrent fetches of the same view. A fetch that takes longer than slowFetch no longer
@@ -73,7 +73,7 @@
 	}
 }
 
-// fetchServers asks a peer for the changes since this node's view, or for the whole view if changes are not enough.
+// fetchServers queries a peer for the changes since this node's view, or for the whole view if changes are not enough.
 func (f *fetcher) fetchServers(addr string) {
 	path := pathServers + "?since=" + strconv.FormatUint(f.servers.sinceVersion(), 10)
 	f.fetch(addr, path, func(data []byte) error {
@@ -90,7 +90,7 @@
 func (f *fetcher) fetch(addr, path string, apply func([]byte) error) {
 	view, _, _ := strings.Cut(path, "?")
 	key := view + " " + addr
-	if !f.tryBegin(view, key, time.Now()) {
+	if !f.tryStart(view, key, time.Now()) {
 		return
 	}
 	go func() {
@@ -109,8 +109,8 @@
 	}()
 }
 
-// tryBegin registers a fetch and returns true unless one from the same peer, or maxFetches from others, are running.
-func (f *fetcher) tryBegin(view, key string, now time.Time) bool {
+// tryStart registers a fetch and returns true unless one from the same peer, or maxFetches from others, are running.
+func (f *fetcher) tryStart(view, key string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.inFlight[key]; ok {
--- a/internal/edge/demand.go
+++ b/internal/edge/demand.go
@@ -49,12 +49,12 @@
 }
 
 func (m *demandMeter) decay(now time.Time) {
-	keep := math.Exp(-float64(now.Sub(m.decayedAt)) / float64(demandTimeConstant))
+	factor := math.Exp(-float64(now.Sub(m.decayedAt)) / float64(demandTimeConstant))
 	m.decayedAt = now
 	for _, d := range m.services {
-		d.prefill *= keep
-		d.output *= keep
-		d.requests *= keep
+		d.prefill *= factor
+		d.output *= factor
+		d.requests *= factor
 	}
 }
 
--- a/internal/edge/directory.go
+++ b/internal/edge/directory.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// directoryTTL is how long callers are asked to cache addresses: short enough that they leave a stopping node while
+	// directoryTTL is how long callers may cache addresses: short enough that they leave a stopping node while
 	// it still serves, long enough to keep the number of directory queries small.
 	directoryTTL = 2 * time.Second
 	// maxDirectoryAddresses limits the addresses in one response.
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -5,7 +5,7 @@
 // backend servers, the nodes' own rows, the duty lease and the final usage counts. Nodes exchange everything else in
 // heartbeats, datagrams sent several times a second: requests in progress on each server, the quota consumed by each
 // workspace and the version and age of their view of the store. Normally one node polls the rows of servers and eight
-// nodes long-poll the other tables; they pass changes on at once (see readerSelection and pendingChanges). A node that
+// nodes long-poll the other tables; they forward changes at once (see readerSelection and pendingChanges). A node that
 // cannot reach the store keeps using the views it has and what its peers send. A node without peers reads the store
 // itself and keeps to its own share of each limit.
 //
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -34,24 +34,24 @@
 // drain finishes the requests in progress. Other nodes stop listing this one at once, but requests are still accepted
 // until the addresses that callers have cached must have expired.
 func (n *Node) drain(servers []*http.Server, stopDuties func()) {
-	begin := time.Now()
-	n.stoppedAt.Store(&begin)
+	start := time.Now()
+	n.stoppedAt.Store(&start)
 	n.stopping.Store(true)
-	n.log.WithField("open", n.open.Load()).Info(logline.NodeDraining)
+	n.log.WithField("open", n.openRequests.Load()).Info(logline.NodeDraining)
 	go n.peers.send(context.Background()) // takes a fraction of a second in a large deployment
 	stopDuties()
-	ctx, cancel := context.WithDeadline(context.Background(), begin.Add(n.settings.Grace-exitMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(n.settings.Grace-exitMargin))
 	defer cancel()
 	n.peers.unregister(ctx)
-	clock.Sleep(ctx, time.Until(begin.Add(min(acceptShortPeriod, n.settings.Grace*3/4))))
-	for n.open.Load() > 0 && clock.Sleep(ctx, drainPollInterval) {
+	clock.Sleep(ctx, time.Until(start.Add(min(acceptShortPeriod, n.settings.Grace*3/4))))
+	for n.openRequests.Load() > 0 && clock.Sleep(ctx, drainPollInterval) {
 	}
 	for _, server := range servers {
 		if err := server.Close(); err != nil {
 			n.log.WithError(err).Debug("closing listener failed")
 		}
 	}
-	if open := n.open.Load(); open > 0 {
+	if open := n.openRequests.Load(); open > 0 {
 		n.log.WithField("open", open).Warning(logline.RequestsCutOff)
 	}
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -14,7 +14,7 @@
 const (
 	// dutyLease is the name of the lease whose holder performs the duties.
 	dutyLease = "duties"
-	// dutyLeaseDuration is how long the lease is valid without renewal. After its holder fails, nobody orders servers
+	// dutyLeaseDuration is how long the lease is valid without renewal. After its holder fails, no node orders servers
 	// until it expires.
 	dutyLeaseDuration = 1500 * time.Millisecond
 	// dutyCallTimeout limits one duty call.
--- a/internal/edge/logload_test.go
+++ b/internal/edge/logload_test.go
@@ -32,10 +32,10 @@
 	for range logLoadCallers {
 		work.Go(func() {
 			for range logLoadCalls {
-				begin := time.Now()
+				start := time.Now()
 				_ = n.do(t, call{path: "/book/1"}) // refusals are measured too
 				mu.Lock()
-				times = append(times, time.Since(begin))
+				times = append(times, time.Since(start))
 				mu.Unlock()
 			}
 		})
@@ -48,7 +48,7 @@
 // Guards against requests blocked by a log whose reader has stopped, and against dropped log lines that are not
 // counted.
 func TestStoppedLogReaderDoesNotSlowRequests(t *testing.T) {
-	reader, writer := io.Pipe() // nobody reads
+	reader, writer := io.Pipe() // without a reader
 	defer reader.Close()
 	sink := logsink.New(writer)
 	baseline := medianUnderLoad(t, io.Discard)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -86,10 +86,10 @@
 	retriesMu sync.Mutex
 	retries   map[string]*limit.RetryWindow
 
-	holdsDuties atomic.Bool
-	stopping    atomic.Bool
-	stoppedAt   atomic.Pointer[time.Time] // time of the stop signal
-	open        atomic.Int64
+	holdsDuties  atomic.Bool
+	stopping     atomic.Bool
+	stoppedAt    atomic.Pointer[time.Time] // time of the stop signal
+	openRequests atomic.Int64
 }
 
 // New returns a node that serves nothing until Run.
@@ -264,6 +264,6 @@
 func (n *Node) logSummaries(ctx context.Context) {
 	for clock.Sleep(ctx, summaryInterval) {
 		n.log.WithFields(logrus.Fields{"store_calls": n.metrics.Snapshot("store_calls"), "requests": n.metrics.Snapshot("requests"),
-			"retries": n.metrics.Snapshot("retries"), "open": n.open.Load(), "nodes": len(n.peers.alive(time.Now())) + 1}).Info("summary")
+			"retries": n.metrics.Snapshot("retries"), "open": n.openRequests.Load(), "nodes": len(n.peers.alive(time.Now())) + 1}).Info("summary")
 	}
 }
--- a/internal/edge/peerrows.go
+++ b/internal/edge/peerrows.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	p.mu.Lock()
-	p.ownRow = versions[0]
+	p.ownRowVersion = versions[0]
 	p.mu.Unlock()
 	return nil
 }
@@ -106,7 +106,7 @@
 // unregister deletes this node's row.
 func (p *peers) unregister(ctx context.Context) {
 	p.mu.Lock()
-	version := p.ownRow
+	version := p.ownRowVersion
 	p.mu.Unlock()
 	if version == 0 {
 		return
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -65,9 +65,9 @@
 	restarted    func(node string, started int64)
 	started      int64
 
-	mu     sync.Mutex
-	nodes  map[string]*peerNode // by name; seeds by address until their name is known
-	ownRow uint64
+	mu            sync.Mutex
+	nodes         map[string]*peerNode // by name; seeds by address until their name is known
+	ownRowVersion uint64
 	// urgent requests an urgent heartbeat before the interval ends.
 	urgent chan struct{}
 	// sendingUrgent is set while an urgent heartbeat is sent. Regular ones wait, so that both together stay within the
--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -112,11 +112,11 @@
 func TestHeartbeatsArePacedForSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, size, linkBytes = 86, 2500, 10e6 / 8
-		begin := time.Now()
+		start := time.Now()
 		sent := 0.0
 		p := &peers{write: func(data []byte, _ netip.AddrPort) {
 			sent += float64(len(data))
-			carried := time.Since(begin).Seconds() * linkBytes
+			carried := time.Since(start).Seconds() * linkBytes
 			assert.Assert(t, sent-carried <= paceBytes+size, "%.0f bytes queued on the link", sent-carried)
 		}}
 		var addrs []string
@@ -125,7 +125,7 @@
 		}
 		p.pace(t.Context(), addrs, func(string) []byte { return make([]byte, size) })
 		assert.Equal(t, sent, float64(nodes*size))
-		assert.Assert(t, time.Since(begin) < nodes*heartbeatIntervalPerNode, "it takes longer than the interval")
+		assert.Assert(t, time.Since(start) < nodes*heartbeatIntervalPerNode, "it takes longer than the interval")
 	})
 }
 
@@ -134,7 +134,7 @@
 // drains go unseen for seconds.
 func TestAgesGrowWhileABeatIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begin, sent := time.Now(), 0
+		start, sent := time.Now(), 0
 		p := &peers{self: "self", nodes: map[string]*peerNode{}, maxNodesSeen: 86, log: logrus.NewEntry(logrus.New()),
 			usageWindows: func(time.Time) []*pb.UsageWindow { return nil }}
 		p.readers = &readerSelection{readerRank: p.readerRank, nodeRank: p.nodeRank, lost: &atomic.Int32{}}
@@ -145,15 +145,15 @@
 			sent++
 			heartbeat := &pb.PeerBeat{}
 			assert.NilError(t, proto.Unmarshal(data, heartbeat))
-			passed := time.Since(begin).Milliseconds()
+			passed := time.Since(start).Milliseconds()
 			assert.Assert(t, int64(heartbeat.Servers.AgeMs) >= 100+passed, "%d ms after %d ms", heartbeat.Servers.AgeMs, passed)
 		}
 		for i := range 85 {
-			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), addedAt: begin.Add(-time.Minute), rowVersion: 1}
+			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), addedAt: start.Add(-time.Minute), rowVersion: 1}
 		}
 		p.send(t.Context())
 		assert.Equal(t, sent, 85)
-		assert.Assert(t, time.Since(begin) > 100*time.Millisecond)
+		assert.Assert(t, time.Since(start) > 100*time.Millisecond)
 	})
 }
 
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const size = 2500
 		speed := float64(paceBytes) / pacePause.Seconds() // half the bandwidth of the slowest links; the rest is for requests
-		begin, sent := time.Now(), 0.0
+		start, sent := time.Now(), 0.0
 		var mu sync.Mutex
 		p := &peers{self: "self", nodes: map[string]*peerNode{}, maxNodesSeen: 86, log: logrus.NewEntry(logrus.New()),
 			usageWindows: func(time.Time) []*pb.UsageWindow { return nil }}
@@ -173,11 +173,11 @@
 			mu.Lock()
 			defer mu.Unlock()
 			sent += float64(len(data))
-			ahead := sent - time.Since(begin).Seconds()*speed
+			ahead := sent - time.Since(start).Seconds()*speed
 			assert.Check(t, ahead <= 3*paceBytes, "%.0f bytes above the allowed rate", ahead)
 		}
 		for i := range 85 {
-			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), lastHeartbeat: &pb.PeerBeat{}, receivedAt: begin}
+			p.nodes[fmt.Sprint(i)] = &peerNode{addr: fmt.Sprintf("10.0.0.%d:1", i+1), lastHeartbeat: &pb.PeerBeat{}, receivedAt: start}
 		}
 		var work sync.WaitGroup
 		work.Go(func() { p.send(t.Context()) })
--- a/internal/edge/peersend.go
+++ b/internal/edge/peersend.go
@@ -23,8 +23,8 @@
 	pacePause = 10 * time.Millisecond
 	// unresponsiveProbeInterval is how often a heartbeat is sent to an unresponsive node.
 	unresponsiveProbeInterval = time.Second
-	// forgetAfter is how long an unresponsive node without a row in the store is kept.
-	forgetAfter = 30 * time.Second
+	// peerRetention is how long an unresponsive node without a row in the store is kept.
+	peerRetention = 30 * time.Second
 )
 
 // run sends and receives heartbeats until ctx ends.
@@ -33,11 +33,11 @@
 	go p.runUrgent(ctx)
 	defer p.conn.Close()
 	for {
-		begin := time.Now()
+		start := time.Now()
 		p.send(ctx)
 		interval := p.heartbeatInterval()
 		next := interval - interval/jitterDivisor + rand.N(2*interval/jitterDivisor)
-		if !clock.Sleep(ctx, next-time.Since(begin)) {
+		if !clock.Sleep(ctx, next-time.Since(start)) {
 			return
 		}
 	}
@@ -90,8 +90,8 @@
 }
 
 // pacedHeartbeat is a heartbeat whose sending takes some time. The ages in it increase meanwhile: nodes adopt the
-// lowest age that they receive for their own view and pass it on, so an age that is too low would circulate and no node
-// would read the store again.
+// lowest age that they receive for their own view and report it in turn, so an age that is too low would circulate and
+// no node would read the store again.
 type pacedHeartbeat struct {
 	p          *peers
 	heartbeat  *pb.PeerBeat
@@ -184,7 +184,7 @@
 			lastReceived = n.addedAt
 		}
 		elapsed := now.Sub(lastReceived)
-		if elapsed > forgetAfter && n.rowVersion == 0 {
+		if elapsed > peerRetention && n.rowVersion == 0 {
 			delete(p.nodes, name)
 			continue
 		}
--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The target is passed on exactly as sent by the caller.
+	// The target is forwarded exactly as sent by the caller.
 	out.URL.Opaque = req.http.RequestURI
 	out.Host = req.http.Host
 	if len(req.body) == 0 {
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -266,7 +266,7 @@
 	}
 }
 
-// countUsage counts a request, once, as soon as a server may have begun to run it.
+// countUsage counts a request, once, as soon as a server may have started to run it.
 func (n *Node) countUsage(req *request) {
 	if req.usageCounted || req.workspace == nil {
 		return
--- a/internal/edge/relay_test.go
+++ b/internal/edge/relay_test.go
@@ -245,10 +245,10 @@
 	s := d.serve("desk-1", "desk", 0)
 	s.SetBehavior(always(standin.Behavior{Gap: 3 * time.Second}))
 	n := d.node()
-	begin := time.Now()
+	start := time.Now()
 	got := n.do(t, call{path: "/book/1"})
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
-	assert.Assert(t, time.Since(begin) < 700*time.Millisecond)
+	assert.Assert(t, time.Since(start) < 700*time.Millisecond)
 }
 
 // Guards against requests that exceed the configured limits.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -66,8 +66,8 @@
 // serveRequest handles one request of a caller.
 func (n *Node) serveRequest(w http.ResponseWriter, r *http.Request) {
 	n.callers.headerReceived(r.Context())
-	n.open.Add(1)
-	defer n.open.Add(-1)
+	n.openRequests.Add(1)
+	defer n.openRequests.Add(-1)
 	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/edge/serverview.go
+++ b/internal/edge/serverview.go
@@ -155,7 +155,7 @@
 	if since != v.version {
 		return nil // a newer view has been received from a peer
 	}
-	v.noteStoreRecovery(sent)
+	v.recordStoreRecovery(sent)
 	for _, c := range changes {
 		if c.Deleted {
 			v.remove(c.Key, sent, max(version, since))
@@ -183,7 +183,7 @@
 	if version < v.version {
 		return nil // older than a view received from a peer
 	}
-	v.noteStoreRecovery(sent)
+	v.recordStoreRecovery(sent)
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		present[row.Key] = true
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// noteStoreRecovery records the first read after a store outage.
-func (v *serverView) noteStoreRecovery(now time.Time) {
+// recordStoreRecovery records the first read after a store outage.
+func (v *serverView) recordStoreRecovery(now time.Time) {
 	if !v.freshAsOf.IsZero() && now.Sub(v.freshAsOf) > outageThreshold {
 		v.storeRecoveredAt = now
 	}
@@ -319,7 +319,7 @@
 	}
 	// The same content at a newer version: this view is as fresh as the peer's.
 	if at := now.Add(-time.Duration(peer.AgeMs) * time.Millisecond); at.After(v.freshAsOf) && v.version != 0 {
-		v.noteStoreRecovery(at)
+		v.recordStoreRecovery(at)
 		v.freshAsOf, v.version = at, peer.Version
 	}
 	return false
--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// stallPauseFactor times the route's target for the pause between events is how long a resumable stream may be
-	// silent before it is retried on another server.
+	// stallPauseFactor times the route's target for the pause between events is how long a resumable stream may
+	// send nothing before it is retried on another server.
 	stallPauseFactor = 4
 	// minStallTimeout is the minimum of that time. firstEventStallTimeout is the minimum before the first event.
 	minStallTimeout        = 1200 * time.Millisecond
--- a/internal/edge/viewchanges_test.go
+++ b/internal/edge/viewchanges_test.go
@@ -151,10 +151,10 @@
 func TestUnresponsivePeersDoNotBlockFetches(t *testing.T) {
 	f := newFetcher(&configView{}, newTestView(nil), logrus.NewEntry(logrus.New()))
 	now := time.Unix(1000, 0)
-	begins := func(peer string) bool { return f.tryBegin(pathServers, pathServers+" "+peer, now) }
-	assert.Assert(t, begins("a") && begins("b"))
-	assert.Assert(t, !begins("a") && !begins("c"))
-	assert.Assert(t, f.tryBegin(pathConfig, pathConfig+" c", now), "another view")
+	starts := func(peer string) bool { return f.tryStart(pathServers, pathServers+" "+peer, now) }
+	assert.Assert(t, starts("a") && starts("b"))
+	assert.Assert(t, !starts("a") && !starts("c"))
+	assert.Assert(t, f.tryStart(pathConfig, pathConfig+" c", now), "another view")
 	now = now.Add(slowFetch)
-	assert.Assert(t, !begins("a") && begins("c") && begins("d") && !begins("e"))
+	assert.Assert(t, !starts("a") && starts("c") && starts("d") && !starts("e"))
 }
--- a/internal/generate/move.go
+++ b/internal/generate/move.go
@@ -38,7 +38,8 @@
 	})
 }
 
-// beginMove marks the run as moving when it runs on the server and is not expected to finish there in time.
+// beginMove marks the run as moving when it runs on the server and is not expected to finish there before the server
+// leaves.
 func (run *run) beginMove(server string, deadline time.Time) bool {
 	tokens := run.log.Len()
 	run.mu.Lock()
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -75,8 +75,8 @@
 		if ctx.Err() != nil || !n.runner.OutlastsDeadline(id, deadline) {
 			return
 		}
-		keepKV := func(ctx context.Context) string { return n.runner.RetainKV(ctx, id) }
-		wg.Go(func() { n.replicator.Handover(ctx, log, keepKV, func() { n.runner.Stop(id) }) })
+		retainKV := func(ctx context.Context) string { return n.runner.RetainKV(ctx, id) }
+		wg.Go(func() { n.replicator.Handover(ctx, log, retainKV, func() { n.runner.Stop(id) }) })
 		clock.Sleep(ctx, handoverInterval)
 	})
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -88,7 +88,7 @@
 	return func(uint32) {}
 }
 
-// knownDomains keeps the failure domains and their regions, including domains whose last instance is gone.
+// knownDomains keeps the failure domains and their regions, including domains without instances left.
 type knownDomains struct {
 	mu      sync.Mutex
 	regions map[string]string
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -37,15 +37,15 @@
 // loads tracks the load of the backend servers: it polls those that this node observes, and receives the loads of the
 // others from their observers.
 type loads struct {
-	engine          backend.Engine
-	service         backend.Service
-	router          *route.Router
-	cluster         *cluster
-	instance        func(string) (platform.Instance, bool)
-	hasOpenRequests func() bool
-	othersPolledAt  time.Time // last direct poll of the servers that other nodes observe; only run uses it
-	renewServers    func()    // updates the router's list of servers soon
-	view            *loadview.Runner
+	engine              backend.Engine
+	service             backend.Service
+	router              *route.Router
+	cluster             *cluster
+	instance            func(string) (platform.Instance, bool)
+	hasOpenRequests     func() bool
+	othersPolledAt      time.Time // last direct poll of the servers that other nodes observe; only run uses it
+	requestServerUpdate func()    // updates the router's list of servers soon
+	view                *loadview.Runner
 
 	mu             sync.Mutex
 	workerStates   map[string]*pb.WorkerState // by server
@@ -55,16 +55,16 @@
 
 func newLoads(n *Node) *loads {
 	l := &loads{
-		engine:          n.opts.Engine,
-		service:         n.opts.Service,
-		router:          n.router,
-		cluster:         n.cluster,
-		instance:        func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
-		hasOpenRequests: func() bool { return n.openRequests.Load() > 0 },
-		renewServers:    func() { n.tracker.RequestUpdate() },
-		workerStates:    map[string]*pb.WorkerState{},
-		polledLoads:     map[string]servers.Load{},
-		lastCacheEvent:  map[string]uint64{},
+		engine:              n.opts.Engine,
+		service:             n.opts.Service,
+		router:              n.router,
+		cluster:             n.cluster,
+		instance:            func(id string) (platform.Instance, bool) { return n.tracker.Instance(id) },
+		hasOpenRequests:     func() bool { return n.openRequests.Load() > 0 },
+		requestServerUpdate: func() { n.tracker.RequestUpdate() },
+		workerStates:        map[string]*pb.WorkerState{},
+		polledLoads:         map[string]servers.Load{},
+		lastCacheEvent:      map[string]uint64{},
 	}
 	core := loadview.NewCore(loadview.Config{
 		Node:          n.opts.Settings.Node,
@@ -137,7 +137,7 @@
 	l.mu.Lock()
 	l.workerStates[strings.TrimPrefix(item.Key, workerKeyPrefix)] = state
 	l.mu.Unlock()
-	l.renewServers()
+	l.requestServerUpdate()
 }
 
 // hasWorkerStates reports whether the loaded models are known for at least the given percentage of the servers. A node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	// defaultMaxOpenRequests bounds the open requests of a node; each stream takes about 32 KiB.
 	defaultMaxOpenRequests = 20_000
 	// claimStoreTimeout bounds the wait for a claim. While the store is down, callers must be refused within 250 ms;
-	// the other 50 ms are for the way back to the caller.
+	// the other 50 ms are for sending the refusal.
 	claimStoreTimeout = 200 * time.Millisecond
 	// maxEjectedPercent bounds the share of a group's servers that get no requests because they fail.
 	maxEjectedPercent = 30
--- a/internal/node/random_load_test.go
+++ b/internal/node/random_load_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// markLeaving records that a node has been told to leave.
+// markLeaving records that a node has been ordered to leave.
 func (l *mixedLoad) markLeaving(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,14 +83,14 @@
 	}
 }
 
-// checkAccepted reports a violation if a node accepted a request later than leaveLimit after it was told to leave.
+// checkAccepted reports a violation if a node accepted a request later than leaveLimit after it was ordered to leave.
 func (l *mixedLoad) checkAccepted(node int, start time.Time) {
 	name := l.cluster.nodes[node].settings.Node
 	l.mu.Lock()
 	since, leaving := l.leavingSince[name]
 	l.mu.Unlock()
 	if leaving && start.Sub(since) > leaveLimit {
-		l.report("%s accepted work %v after it was told to leave", name, start.Sub(since))
+		l.report("%s accepted work %v after it was ordered to leave", name, start.Sub(since))
 	}
 }
 
@@ -159,7 +159,7 @@
 
 func (l *mixedLoad) checkNotRun(b *booking) {
 	if n := l.cluster.runs.Count("shop/" + b.key); b.onlyNotRun && n > 0 {
-		l.report("%s ran %d times although its callers were told that it did not: %v", b.key, n, b.responses)
+		l.report("%s ran %d times although its callers got ran:no: %v", b.key, n, b.responses)
 	}
 }
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// readyServerPercent is the percentage of the servers whose models a ready node must know; the others may be down.
+// readyServerPercent is the percentage of the servers whose models a ready node must know; the others may be unreachable.
 const readyServerPercent = 50
 
 // waitingFor lists what the node still needs before it is ready.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -10,7 +10,7 @@
 // A response id names the home node at the time of acceptance. Any node can therefore find a response: it queries that
 // node and, if it is gone, the nodes that rendezvous hashing would choose for the replica. The replica's node becomes
 // the home node when a caller resumes and the previous home node is not live. It does not take over merely because the
-// home node dies: a caller that still wants the response resumes it, and a response that nobody waits for is not
+// home node dies: a caller that still wants the response resumes it, and a response that no caller waits for is not
 // recomputed.
 package replica
 
@@ -39,7 +39,7 @@
 	flushInterval = 50 * time.Millisecond
 	// openTimeout bounds one attempt to open a replica. Nodes are a few milliseconds apart.
 	openTimeout = 250 * time.Millisecond
-	// maxOpenAttempts is how many nodes are asked to open a replica.
+	// maxOpenAttempts is the maximum number of nodes on which opening a replica is attempted.
 	maxOpenAttempts = 3
 	// appendTimeout bounds one progress message.
 	appendTimeout = time.Second
@@ -130,7 +130,7 @@
 }
 
 // Open copies an accepted request to a replica. If there are fewer than maxOpenAttempts candidates and all fail, the
-// response continues without a replica, since refusing it would help nobody; the metric responses_without_replica
+// response continues without a replica, since refusing it would not help the caller; the metric responses_without_replica
 // counts these. If maxOpenAttempts candidates fail, other nodes may remain, and the request is refused. It is also
 // refused if ctx ends first.
 func (r *Replicator) Open(ctx context.Context, log *stream.Log) error {
--- a/internal/replica/serve.go
+++ b/internal/replica/serve.go
@@ -84,7 +84,7 @@
 	return &pb.Envelope{Body: &pb.Envelope_StreamState{StreamState: state}}
 }
 
-// resume starts the attempts of an unfinished response that may have been cancelled because nobody read it.
+// resume starts the attempts of an unfinished response that may have been cancelled because it had no reader.
 func (r *Replicator) resume(log *stream.Log) {
 	if log.End().Finished {
 		return
--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -62,7 +62,7 @@
 	c.fillView()
 }
 
-// fillViewWithout fills the view from all peers but one, which is taken only when no other is left.
+// fillViewWithout fills the view from all peers but one, which is used only when no other is left.
 func (c *Core) fillViewWithout(removed Peer) {
 	all := c.peers
 	c.peers = slices.DeleteFunc(slices.Clone(all), func(p Peer) bool { return p.Node == removed.Node })
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -313,7 +313,7 @@
 			// The write may have taken effect; a read that does not show it may be stale.
 			version, found, err := h.l.read(ctx, h.name)
 			if err == nil && found.Holder == h.holder && found.Renewal == row.Renewal {
-				// Any of the repeated writes may be the one that took effect, so the earliest time counts.
+				// Any of the retried writes may be the one that took effect, so the earliest time counts.
 				return h.extend(version, first)
 			}
 			if err == nil && found.Holder != h.holder && version > h.version {
--- a/pkg/loadview/loadview.go
+++ b/pkg/loadview/loadview.go
@@ -2,8 +2,8 @@
 //
 // A few observers per failure domain, chosen by rendezvous hashing, poll the workers of their domain. They send
 // changes of the quantized load to the domain's relay, which gives them sequence numbers. Every pullPeriod each node
-// asks one peer of the gossip view for the changes since the versions that it has. The relay also pushes changes to a
-// few peers, so that each change starts from several nodes. A peer replies with the state of the changed workers, not
+// queries one peer of the gossip view for the changes since the versions that it has. The relay also pushes changes to
+// a few peers, so that each change starts from several nodes. A peer replies with the state of the changed workers, not
 // with a log: a worker that changed twice is sent once, so a short budget makes loads older but never builds a queue.
 //
 // With one version per failure domain a pull request takes about 200 bytes. One version per observer (hundreds) would
--- a/pkg/loadview/spread.go
+++ b/pkg/loadview/spread.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// pull asks one random peer of the gossip view for changes.
+// pull queries one random peer of the gossip view for changes.
 func (c *Core) pull() []gossip.Message {
 	peers := c.peers.View()
 	if len(peers) == 0 {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -2,10 +2,10 @@
 // SWIM.
 //
 // Each node probes one peer of its region per second: mostly one of the gossip view, whose connections are open, and
-// sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober asks two
-// peers in other failure domains to probe the target (indirect probes). Only when one of them replies that it cannot
-// reach the target either is the target suspected, so that a fault of the prober's own links or failure domain does
-// not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
+// sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober sends two
+// peers in other failure domains a request to probe the target (indirect probes). Only when one of them replies that it
+// cannot reach the target either is the target suspected, so that a fault of the prober's own links or failure domain
+// does not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
 // above the known one. A live node refutes it with a higher incarnation. Without a refutation every node considers it
 // dead after deadAfter on its own clock, which takes no further message, even when a whole failure domain is lost.
 //
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -56,8 +56,8 @@
 
 type server struct {
 	serving.Server
-	own       Load
-	failureAt time.Time // when own.Failures was last decayed
+	own               Load
+	failuresDecayedAt time.Time // when own.Failures was last decayed
 	// latency is the moving average of the duration of a plain request; 0 until the first result.
 	latency time.Duration
 	// slowness is the ratio of an engine's actual to its estimated time to first event; 0 until the first result.
@@ -70,8 +70,8 @@
 }
 
 type peerLoads struct {
-	at    time.Time
-	loads map[string]Load
+	reportedAt time.Time
+	loads      map[string]Load
 }
 
 // NewBoard returns a Board for a node in the given failure domain.
@@ -114,7 +114,7 @@
 func (b *Board) SetPeer(node string, loads map[string]Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peers[node] = &peerLoads{at: now, loads: loads}
+	b.peers[node] = &peerLoads{reportedAt: now, loads: loads}
 }
 
 // RemovePeer removes the loads of a node that has left.
@@ -140,10 +140,10 @@
 }
 
 func (s *server) decay(now time.Time) {
-	if elapsed := now.Sub(s.failureAt); elapsed > 0 && s.own.Failures > 0 {
+	if elapsed := now.Sub(s.failuresDecayedAt); elapsed > 0 && s.own.Failures > 0 {
 		s.own.Failures *= math.Exp2(-float64(elapsed) / float64(failureHalfLife))
 	}
-	s.failureAt = now
+	s.failuresDecayedAt = now
 }
 
 // total returns the load of a server summed over all nodes.
@@ -151,7 +151,7 @@
 	s.decay(now)
 	sum := s.own
 	for _, p := range b.peers {
-		if now.Sub(p.at) < peerExpiry {
+		if now.Sub(p.reportedAt) < peerExpiry {
 			sum.add(p.loads[s.ID])
 		}
 	}
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -125,7 +125,7 @@
 	Prefer string
 	// Exclude lists the IDs of servers that must not be chosen, because they were tried already.
 	Exclude []string
-	// Isolate asks for a server that runs nothing else meanwhile. It is for a request with a strike: one that was
+	// Isolate requests a server that runs nothing else meanwhile. It is for a request with a strike: one that was
 	// running on a server when the server crashed. IsolateKey spreads different requests over the servers and gives a
 	// request the same order of servers on every node, so that isolated requests of two nodes do not meet on a server.
 	Isolate    bool
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -203,8 +203,8 @@
 	return best
 }
 
-// powerOfTwoChoices takes the less loaded of two random servers. With late load reports this gives a lower latency than
-// the least loaded of all servers, to which every node would send at the same time.
+// powerOfTwoChoices takes the less loaded of two random servers. With delayed load reports this gives a lower latency
+// than the least loaded of all servers, to which every node would send at the same time.
 func (c *chooser) powerOfTwoChoices() int32 {
 	n := uint64(len(c.members))
 	a, b := c.members[c.router.random()%n], c.members[c.router.random()%n]
