--- a/internal/edge/peers_test.go
+++ b/internal/edge/peers_test.go
@@ -131,7 +131,7 @@
 
 // Guards against ages that are too low because sending a heartbeat to all nodes takes a fraction of a second. Nodes
 // adopt and pass on the lowest age that they receive: a view then seems fresh permanently, no node reads the store, and
-// drains go unseen for seconds.
+// drains go unnoticed for seconds.
 func TestAgesGrowWhileABeatIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start, sent := time.Now(), 0
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -41,8 +41,8 @@
 	mu sync.Mutex
 	// unansweredSince is the time of the oldest send after which no packet has been received, and receivedBefore the
 	// number of packets that had been received by then.
-	receivedBefore  uint64
-	unansweredSince time.Time
+	receivedBefore      uint64
+	awaitingPacketSince time.Time
 }
 
 // peer is the state of one address: at most one connection in use and at most one dial in progress.
@@ -61,11 +61,11 @@
 	n := c.quic.ConnectionStats().PacketsReceived
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unansweredSince.IsZero() || n != c.receivedBefore {
-		c.receivedBefore, c.unansweredSince = n, now
+	if c.awaitingPacketSince.IsZero() || n != c.receivedBefore {
+		c.receivedBefore, c.awaitingPacketSince = n, now
 		return false
 	}
-	return now.Sub(c.unansweredSince) > silenceTimeout
+	return now.Sub(c.awaitingPacketSince) > silenceTimeout
 }
 
 func (c *connection) alive() bool { return c.quic.Context().Err() == nil }
