--- a/internal/edge/peersend.go
+++ b/internal/edge/peersend.go
@@ -23,8 +23,8 @@
 	pacePause = 10 * time.Millisecond
 	// unresponsiveProbeInterval is how often a heartbeat is sent to an unresponsive node.
 	unresponsiveProbeInterval = time.Second
-	// forgetAfter is how long an unresponsive node without a row in the store is kept.
-	forgetAfter = 30 * time.Second
+	// peerRetention is how long an unresponsive node without a row in the store is kept.
+	peerRetention = 30 * time.Second
 )
 
 // run sends and receives heartbeats until ctx ends.
@@ -33,11 +33,11 @@
 	go p.runUrgent(ctx)
 	defer p.conn.Close()
 	for {
-		begin := time.Now()
+		start := time.Now()
 		p.send(ctx)
 		interval := p.heartbeatInterval()
 		next := interval - interval/jitterDivisor + rand.N(2*interval/jitterDivisor)
-		if !clock.Sleep(ctx, next-time.Since(begin)) {
+		if !clock.Sleep(ctx, next-time.Since(start)) {
 			return
 		}
 	}
@@ -66,9 +66,9 @@
 // send sends this node's heartbeat to all others.
 func (p *peers) send(ctx context.Context) {
 	now := time.Now()
-	beat := p.compose(now)
-	regular, withUsage := newPacedHeartbeat(p, beat, now), newPacedHeartbeat(p, proto.CloneOf(beat), now)
-	withUsage.beat.Usage = p.usageWindows(now)
+	heartbeat := p.compose(now)
+	regular, withUsage := newPacedHeartbeat(p, heartbeat, now), newPacedHeartbeat(p, proto.CloneOf(heartbeat), now)
+	withUsage.heartbeat.Usage = p.usageWindows(now)
 	receivers := p.usageReceivers(now)
 	p.pace(ctx, p.targets(now), func(addr string) []byte {
 		for p.sendingUrgent.Load() && clock.Sleep(ctx, pacePause) {
@@ -90,11 +90,11 @@
 }
 
 // pacedHeartbeat is a heartbeat whose sending takes some time. The ages in it increase meanwhile: nodes adopt the
-// lowest age that they receive for their own view and pass it on, so an age that is too low would circulate and no node
-// would read the store again.
+// lowest age that they receive for their own view and report it in turn, so an age that is too low would circulate and
+// no node would read the store again.
 type pacedHeartbeat struct {
 	p          *peers
-	beat       *pb.PeerBeat
+	heartbeat  *pb.PeerBeat
 	composed   time.Time
 	serversAge uint32 // of the view of servers when the heartbeat was composed, in ms
 	changesAge uint32
@@ -102,9 +102,9 @@
 	data       []byte
 }
 
-func newPacedHeartbeat(p *peers, beat *pb.PeerBeat, now time.Time) *pacedHeartbeat {
-	return &pacedHeartbeat{p: p, beat: beat, composed: now,
-		serversAge: beat.GetServers().GetAgeMs(), changesAge: beat.GetChanges().GetAgeMs()}
+func newPacedHeartbeat(p *peers, heartbeat *pb.PeerBeat, now time.Time) *pacedHeartbeat {
+	return &pacedHeartbeat{p: p, heartbeat: heartbeat, composed: now,
+		serversAge: heartbeat.GetServers().GetAgeMs(), changesAge: heartbeat.GetChanges().GetAgeMs()}
 }
 
 // datagram returns the heartbeat encoded with the ages as of now, or nil if it cannot be encoded.
@@ -113,19 +113,19 @@
 		return b.data
 	}
 	elapsed := uint32(now.Sub(b.composed).Milliseconds())
-	if b.beat.Servers != nil {
-		b.beat.Servers.AgeMs = b.serversAge + elapsed
+	if b.heartbeat.Servers != nil {
+		b.heartbeat.Servers.AgeMs = b.serversAge + elapsed
 	}
-	if b.beat.Changes != nil {
-		b.beat.Changes.AgeMs = b.changesAge + elapsed
+	if b.heartbeat.Changes != nil {
+		b.heartbeat.Changes.AgeMs = b.changesAge + elapsed
 	}
-	b.data, b.encoded = b.p.encode(b.beat), now
+	b.data, b.encoded = b.p.encode(b.heartbeat), now
 	return b.data
 }
 
 // encode returns the datagram of a heartbeat, or nil if it cannot be sent.
-func (p *peers) encode(beat *pb.PeerBeat) []byte {
-	data, err := proto.Marshal(beat)
+func (p *peers) encode(heartbeat *pb.PeerBeat) []byte {
+	data, err := proto.Marshal(heartbeat)
 	if err != nil || len(data) > maxDatagram {
 		p.log.WithError(err).WithField("bytes", len(data)).Error("heartbeat cannot be sent")
 		return nil
@@ -184,7 +184,7 @@
 			lastReceived = n.addedAt
 		}
 		elapsed := now.Sub(lastReceived)
-		if elapsed > forgetAfter && n.rowVersion == 0 {
+		if elapsed > peerRetention && n.rowVersion == 0 {
 			delete(p.nodes, name)
 			continue
 		}
--- a/internal/edge/viewchanges_test.go
+++ b/internal/edge/viewchanges_test.go
@@ -95,10 +95,10 @@
 	assert.NilError(t, reader.read(t.Context()))
 	assert.Equal(t, notified, 1)
 
-	beat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.heartbeatChanges(minHeartbeatInterval, time.Now())}
-	assert.Assert(t, proto.Size(beat.Changes) < 200)
+	heartbeat := &pb.PeerBeat{Servers: reader.state(time.Now()), Changes: reader.heartbeatChanges(minHeartbeatInterval, time.Now())}
+	assert.Assert(t, proto.Size(heartbeat.Changes) < 200)
 	f := newFetcher(&configView{}, other, other.log)
-	f.handleHeartbeat(beat, time.Now())
+	f.handleHeartbeat(heartbeat, time.Now())
 	assert.DeepEqual(t, other.states(), reader.states())
 	assert.Assert(t, reader.heartbeatChanges(minHeartbeatInterval, time.Now().Add(time.Minute)) == nil, "changes are sent forever")
 }
@@ -151,10 +151,10 @@
 func TestUnresponsivePeersDoNotBlockFetches(t *testing.T) {
 	f := newFetcher(&configView{}, newTestView(nil), logrus.NewEntry(logrus.New()))
 	now := time.Unix(1000, 0)
-	begins := func(peer string) bool { return f.tryBegin(pathServers, pathServers+" "+peer, now) }
-	assert.Assert(t, begins("a") && begins("b"))
-	assert.Assert(t, !begins("a") && !begins("c"))
-	assert.Assert(t, f.tryBegin(pathConfig, pathConfig+" c", now), "another view")
+	starts := func(peer string) bool { return f.tryStart(pathServers, pathServers+" "+peer, now) }
+	assert.Assert(t, starts("a") && starts("b"))
+	assert.Assert(t, !starts("a") && !starts("c"))
+	assert.Assert(t, f.tryStart(pathConfig, pathConfig+" c", now), "another view")
 	now = now.Add(slowFetch)
-	assert.Assert(t, !begins("a") && begins("c") && begins("d") && !begins("e"))
+	assert.Assert(t, !starts("a") && starts("c") && starts("d") && !starts("e"))
 }
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -2,10 +2,10 @@
 // SWIM.
 //
 // Each node probes one peer of its region per second: mostly one of the gossip view, whose connections are open, and
-// sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober asks two
-// peers in other failure domains to probe the target (indirect probes). Only when one of them replies that it cannot
-// reach the target either is the target suspected, so that a fault of the prober's own links or failure domain does
-// not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
+// sometimes any node, so that every node is probed whatever the views are. When a probe times out, the prober sends two
+// peers in other failure domains a request to probe the target (indirect probes). Only when one of them replies that it
+// cannot reach the target either is the target suspected, so that a fault of the prober's own links or failure domain
+// does not cause false suspicions. The suspicion is an urgent gossip item under the member's own key, with a version just
 // above the known one. A live node refutes it with a higher incarnation. Without a refutation every node considers it
 // dead after deadAfter on its own clock, which takes no further message, even when a whole failure domain is lost.
 //
@@ -47,7 +47,7 @@
 	// that the requester waits for the peer's result.
 	requestedProbeTimeout = 400 * time.Millisecond
 	indirectTimeout       = 800 * time.Millisecond
-	// indirectProbers is the number of peers asked for an indirect probe after a probe timed out.
+	// indirectProbers is the number of peers that get an indirect probe request after a probe timed out.
 	indirectProbers = 2
 	// anyNodeEvery sets the share of probes that go to any node instead of one of the gossip view: on average one in
 	// anyNodeEvery. Such a probe costs a handshake.
@@ -126,8 +126,8 @@
 	// domainSuspected marks a probe sent because of a suspicion in the target's failure domain. It does not count for
 	// self-suspicion, because many such probes fail when a domain is lost.
 	domainSuspected bool
-	// asked lists the peers that were asked for an indirect probe.
-	asked []string
+	// probers lists the peers to which an indirect probe request was sent.
+	probers []string
 	// requester and requestNumber identify the request of another node for which this indirect probe is sent.
 	requester     string
 	requestNumber uint64
@@ -229,8 +229,8 @@
 // Leave announces that the node takes no new work. The next Tick sends the announcement.
 func (c *Core) Leave() { c.setStatus(pb.MemberState_LEAVING) }
 
-// Left announces that the process ends. The next Tick sends the announcement.
-func (c *Core) Left() { c.setStatus(pb.MemberState_LEFT) }
+// AnnounceLeft announces that the process ends. The next Tick sends the announcement.
+func (c *Core) AnnounceLeft() { c.setStatus(pb.MemberState_LEFT) }
 
 func (c *Core) setStatus(status pb.MemberState_Status) {
 	c.mu.Lock()
